--- a/src/mesh/attempt_age.cc
+++ b/src/mesh/attempt_age.cc
@@ -8,76 +8,89 @@
 {
 
 constexpr Milliseconds periodLength{ 10'000 };
-constexpr Milliseconds tolerance{ 20 };       // Between announcements of one patience.
-constexpr Milliseconds reviewInterval{ 250 }; // Of the patience: a heap moves slowly.
-constexpr double leastShare = 0.2;            // Of the attempts that announce the longest wait.
+
+/** Two stated waits that differ by no more than this are taken to come from the same timeout. */
+constexpr Milliseconds tolerance{ 20 };
+
+/** The range of client timeouts changes slowly, so it is not recomputed for every request. */
+constexpr Milliseconds rangeUpdateInterval{ 250 };
+
+/** The longest wait counts as that of first attempts if at least this share of all attempts states
+    it.
+*/
+constexpr double minShareNearLongest = 0.2;
 
 } // namespace
 
-void AttemptAges::Period::add (Milliseconds announced)
+void AttemptAges::ObservationPeriod::add (Milliseconds remainingWait)
 {
     ++total;
-    band.add (announced);
+    histogram.add (remainingWait);
 
-    if (announced > longest + tolerance)
+    if (remainingWait > longest + tolerance)
     {
-        longest = announced;
-        nearLongest = 0;
+        longest = remainingWait;
+        countNearLongest = 0;
     }
 
-    if (announced + tolerance >= longest)
-        ++nearLongest;
+    if (remainingWait + tolerance >= longest)
+        ++countNearLongest;
 }
 
-Milliseconds AttemptAges::ageInBand (Timestamp now, History& history, Milliseconds announced)
+Milliseconds AttemptAges::ageBelowRange (Timestamp now, History& history,
+                                         Milliseconds remainingWait)
 {
-    if (history.reviewedAt == Timestamp{} || now - history.reviewedAt >= reviewInterval)
+    if (history.estimatedAt == Timestamp{} || now - history.estimatedAt >= rangeUpdateInterval)
     {
-        history.reviewedAt = now;
-        PatienceBand all;
+        history.estimatedAt = now;
+        RemainingWaitHistogram combined;
 
         for (const auto& period : history.periods)
-            all.add (period.band);
+            combined.add (period.histogram);
 
-        history.patience = all.find();
+        history.firstAttempts = combined.findFirstAttempts();
     }
 
-    const auto& patience = history.patience;
-    return patience && announced < patience->least ? patience->usual - announced : Milliseconds (0);
+    const auto& firstAttempts = history.firstAttempts;
+    return firstAttempts && remainingWait < firstAttempts->shortest
+               ? firstAttempts->mean - remainingWait
+               : Milliseconds (0);
 }
 
-Milliseconds AttemptAges::observe (Timestamp now, const std::string& route, Milliseconds announced)
+Milliseconds AttemptAges::observe (Timestamp now, const std::string& route,
+                                   Milliseconds remainingWait)
 {
     auto& history = byRoute[route];
     auto& periods = history.periods;
     const std::int64_t index = now.time_since_epoch() / periodLength;
-    auto& current = periods[static_cast<std::size_t> (index) % periodCount];
+    auto& current = periods[static_cast<std::size_t> (index) % numPeriods];
 
     if (current.index != index)
         current = { index, {}, 0, 0, {} };
 
-    current.add (announced);
+    current.add (remainingWait);
     Milliseconds longest{ 0 };
 
     for (const auto& period : periods)
-        if (period.index > index - static_cast<std::int64_t> (periodCount))
+        if (period.index > index - static_cast<std::int64_t> (numPeriods))
             longest = std::max (longest, period.longest);
 
-    std::uint32_t total = 0, near = 0;
+    std::uint32_t total = 0, countNearOverallLongest = 0;
 
     for (const auto& period : periods)
     {
-        if (period.index <= index - static_cast<std::int64_t> (periodCount))
+        if (period.index <= index - static_cast<std::int64_t> (numPeriods))
             continue;
 
         total += period.total;
-        near += period.longest + tolerance >= longest ? period.nearLongest : 0;
+        countNearOverallLongest +=
+            period.longest + tolerance >= longest ? period.countNearLongest : 0;
     }
 
-    if (near < leastShare * total)
-        return ageInBand (now, history, announced);
+    if (countNearOverallLongest < minShareNearLongest * total)
+        return ageBelowRange (now, history, remainingWait);
 
-    const auto age = longest - announced;
+    const auto age = longest - remainingWait;
     return age > tolerance ? age : Milliseconds (0);
 }
 
--- a/src/mesh/attempt_age.h
+++ b/src/mesh/attempt_age.h
@@ -1,12 +1,12 @@
-/** For how long a client has been at a request before this attempt of it. Deciding code without
-    I/O.
+/** Estimates how long a client has been trying a request before the current attempt. Makes
+    decisions only and does no I/O.
 
-    Each attempt of a client comes as a request of its own and tells only how long the client still
-    waits. Clients of one route mostly begin with the same patience, so the longest wait that many
-    announce is that of first attempts, and what an attempt announces less was spent on earlier
-    ones. Where clients begin with patiences of their own that lie close together (PatienceBand),
-    what is announced less than the least of these was. Where neither stands out, nothing is
-    concluded.
+    Each attempt arrives as a separate request that states only how much longer its client waits.
+    Most clients of a route use the same timeout, so the longest wait that many requests state is
+    that of first attempts, and the amount by which a request states less has been spent on earlier
+    attempts. Where the clients use individual timeouts that lie close together
+    (RemainingWaitHistogram), a wait below the shortest of these timeouts is that of a later
+    attempt. Where neither pattern is found, the age is taken as zero.
 */
 #pragma once
 
@@ -26,37 +26,37 @@
 class AttemptAges
 {
 public:
-    /** Takes what a request announces, and estimates the time that earlier attempts of it took.
-        @param announced  how long its client waits from now on
-        @returns zero for a first attempt, or when nothing can be concluded
+    /** Records the wait that a request states and estimates how long its earlier attempts took.
+        @param remainingWait  how much longer the client waits, from `now` on
+        @returns zero for a first attempt, or when the observations allow no estimate
     */
-    Milliseconds observe (Timestamp now, const std::string& route, Milliseconds announced);
+    Milliseconds observe (Timestamp now, const std::string& route, Milliseconds remainingWait);
 
 private:
-    /** The waits announced on a route during one period. */
-    struct Period
+    /** The remaining waits stated on a route during one period. */
+    struct ObservationPeriod
     {
         std::int64_t index = -1;
         Milliseconds longest{ 0 };
         std::uint32_t total = 0;
-        std::uint32_t nearLongest = 0;
-        PatienceBand band;
+        std::uint32_t countNearLongest = 0;
+        RemainingWaitHistogram histogram;
 
-        void add (Milliseconds announced);
+        void add (Milliseconds remainingWait);
     };
 
-    static constexpr std::size_t periodCount = 2; // This one and the one before.
-    using Periods = std::array<Period, periodCount>;
+    static constexpr std::size_t numPeriods = 2; // The current and the previous period.
+    using Periods = std::array<ObservationPeriod, numPeriods>;
 
-    /** Of one route. */
+    /** The observations of one route. */
     struct History
     {
         Periods periods;
-        std::optional<Patience> patience; /**< As of `reviewedAt`. */
-        Timestamp reviewedAt{};
+        std::optional<TimeoutRange> firstAttempts; /**< Estimated at `estimatedAt`. */
+        Timestamp estimatedAt{};
     };
 
-    static Milliseconds ageInBand (Timestamp now, History& history, Milliseconds announced);
+    static Milliseconds ageBelowRange (Timestamp now, History& history, Milliseconds remainingWait);
 
     std::unordered_map<std::string, History> byRoute;
 };
--- a/src/mesh/call_share.h
+++ b/src/mesh/call_share.h
@@ -1,10 +1,11 @@
-/** Which of the requests that begin at a node are calls of the instance beside it, by route.
-   Nothing in a request says so; but an instance calls only while it runs something, and clients
-   come whether it does or not. So the more often a route's requests come while the instance is
-   idle, compared with how much of the time it is, the fewer of them are calls.
-
-    Where little is known, or the instance is hardly ever idle, all count as calls. Deciding code
-    without I/O.
+/** Estimates, by route, which share of the requests that start at a node are calls made by the
+    instance beside it. Nothing in a request says so, but an instance makes calls only while it runs
+    a request, whereas clients send requests regardless of that. So the more often requests of a
+    route arrive while the instance is idle, relative to how much of the time it is idle, the fewer
+    of them are calls.
+
+    While too little is known, or when the instance is hardly ever idle, all requests count as
+    calls. Makes decisions only and does no I/O.
 */
 #pragma once
 
@@ -20,20 +21,20 @@
 class CallShare
 {
 public:
-    /** To be called at even intervals, some times a second. */
+    /** Samples whether the instance is idle. Call at even intervals, several times a second. */
     void sample (bool instanceIsIdle);
 
-    /** A request began on this route. */
+    /** Records that a request started on this route. */
     void observe (const std::string& route, bool instanceIsIdle);
 
-    /** The share of this route's requests that are calls, 0 to 1. */
+    /** The share of this route's requests that are calls of the instance, from 0 to 1. */
     double of (const std::string& route) const;
 
 private:
-    double idleShare = 0; /**< Of the time, lately. */
+    double idleTimeShare = 0; /**< Recent share of the time in which the instance was idle. */
 
-    /** Of the requests that would have come while the instance was idle, were none of them a call:
-        those that did.
+    /** The number of requests that arrived while the instance was idle, relative to the number that
+        would have if none of the route's requests were calls.
     */
     std::unordered_map<std::string, RecentShare> idleByRoute;
 };
--- a/src/mesh/patience_band.cc
+++ b/src/mesh/patience_band.cc
@@ -8,18 +8,33 @@
 namespace
 {
 
-const double binWidth = std::log (1.02); // Each bin reaches 2 % farther than the one below it.
-constexpr std::uint32_t leastCount = 60; // Fewer don't show where a heap ends.
-constexpr double outlierShare = 0.01;    // Above the heap: announcements of other kinds of clients.
-constexpr int peakBins = 6;              // From the top, among which the heap is at its highest.
-constexpr double leastPeak = 4;          // Announcements a bin there, else chance makes the gaps.
-constexpr double endShare = 0.3;         // Of the peak, under which the heap ends.
-constexpr int widestHeap = 25;           // Bins: a wider one is no heap.
-constexpr double leastShare = 0.2;       // Of all announcements, in the heap.
-
-int binOf (Milliseconds announced)
+/** The logarithmic width of a bin: its upper edge is 2 % above that of the bin below it. */
+const double binWidth = std::log (1.02);
+
+/** With fewer waits the lower end of a cluster can't be told. */
+constexpr std::uint32_t minCount = 60;
+
+/** The share of the longest waits that is ignored, since other kinds of clients state them. */
+constexpr double outlierShare = 0.01;
+
+/** The peak of the cluster is searched among this many bins, from the top down. */
+constexpr int peakSearchBins = 6;
+
+/** The smoothed count per bin that the peak needs. With less, gaps arise by chance. */
+constexpr double minPeakCount = 4;
+
+/** The cluster ends where the smoothed count falls under this share of that at its peak. */
+constexpr double clusterEndShare = 0.3;
+
+/** The number of bins below the top one beyond which a cluster is too wide to be taken for one. */
+constexpr int maxClusterBins = 25;
+
+/** The smallest share of all waits that has to lie in the cluster. */
+constexpr double minClusterShare = 0.2;
+
+int binOf (Milliseconds remainingWait)
 {
-    const auto ms = std::max<double> (static_cast<double> (announced.count()), 1);
+    const auto ms = std::max<double> (static_cast<double> (remainingWait.count()), 1);
     return static_cast<int> (std::floor (std::log (ms) / binWidth));
 }
 
@@ -30,13 +45,13 @@
 
 } // namespace
 
-void PatienceBand::add (Milliseconds announced)
+void RemainingWaitHistogram::add (Milliseconds remainingWait)
 {
-    ++bins[binOf (announced)];
+    ++bins[binOf (remainingWait)];
     ++count;
 }
 
-void PatienceBand::add (const PatienceBand& other)
+void RemainingWaitHistogram::add (const RemainingWaitHistogram& other)
 {
     for (const auto& [bin, more] : other.bins)
         bins[bin] += more;
@@ -44,7 +59,7 @@
     count += other.count;
 }
 
-double PatienceBand::smoothed (int bin) const
+double RemainingWaitHistogram::smoothedCount (int bin) const
 {
     double sum = 0;
 
@@ -54,7 +69,7 @@
     return sum / 3;
 }
 
-int PatienceBand::topBin() const
+int RemainingWaitHistogram::highestBinBelowOutliers() const
 {
     const auto outliers = outlierShare * count;
     double above = 0;
@@ -70,31 +85,31 @@
     return 0;
 }
 
-std::optional<int> PatienceBand::lowestBin (int top) const
+std::optional<int> RemainingWaitHistogram::lowestClusterBin (int top) const
 {
     int peak = top;
 
-    for (int bin = top; bin > top - peakBins; --bin)
-        peak = smoothed (bin) > smoothed (peak) ? bin : peak;
+    for (int bin = top; bin > top - peakSearchBins; --bin)
+        peak = smoothedCount (bin) > smoothedCount (peak) ? bin : peak;
 
-    if (smoothed (peak) < leastPeak)
+    if (smoothedCount (peak) < minPeakCount)
         return std::nullopt;
 
     int bin = peak;
 
-    while (smoothed (bin - 1) >= endShare * smoothed (peak))
-        if (--bin < top - widestHeap)
+    while (smoothedCount (bin - 1) >= clusterEndShare * smoothedCount (peak))
+        if (--bin < top - maxClusterBins)
             return std::nullopt;
 
     return bin;
 }
 
-std::optional<Patience> PatienceBand::find() const
+std::optional<TimeoutRange> RemainingWaitHistogram::findFirstAttempts() const
 {
-    if (count < leastCount)
+    if (count < minCount)
         return std::nullopt;
 
-    const auto lowest = lowestBin (topBin());
+    const auto lowest = lowestClusterBin (highestBinBelowOutliers());
 
     if (! lowest)
         return std::nullopt;
@@ -107,11 +122,11 @@
         sum += it->second * std::exp ((it->first + 0.5) * binWidth);
     }
 
-    if (members < leastShare * count)
+    if (members < minClusterShare * count)
         return std::nullopt;
 
-    return Patience{ lowerEdgeOf (*lowest),
-                     Milliseconds (static_cast<std::int64_t> (sum / members)) };
+    return TimeoutRange{ lowerEdgeOf (*lowest),
+                         Milliseconds (static_cast<std::int64_t> (sum / members)) };
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/patience_band.h
+++ b/src/mesh/patience_band.h
@@ -1,9 +1,9 @@
-/** For how long the clients of a route wait from their first attempt on, by what all their attempts
-    announce. Deciding code without I/O.
+/** Derives the timeouts of a route's clients, counted from their first attempt, from the remaining
+    waits that all their attempts state. Makes decisions only and does no I/O.
 
-    Each client has a patience of its own, and those of a route lie close together; what returning
-    clients announce is less, by the time that they spent, and there are few between the two. So the
-    first attempts are the topmost heap of the announcements, and end where they thin out below it.
+    Each client has its own timeout, and the timeouts of a route lie close together. A retry states
+    less, by the time already spent, and few waits fall in between. So the first attempts form the
+    topmost cluster of the histogram, which ends where the counts drop below it.
 */
 #pragma once
 
@@ -16,31 +16,33 @@
 namespace copperlead::mesh
 {
 
-/** What first attempts announce. */
-struct Patience
+/** The remaining waits that first attempts state. */
+struct TimeoutRange
 {
-    Milliseconds least{};
-    Milliseconds usual{};
+    Milliseconds shortest{};
+    Milliseconds mean{};
 };
 
-/** Counts of announcements. Not thread-safe. */
-class PatienceBand
+/** Histogram of the remaining waits stated on a route. Not thread-safe. */
+class RemainingWaitHistogram
 {
 public:
-    void add (Milliseconds announced);
-    void add (const PatienceBand& other);
+    void add (Milliseconds remainingWait);
+    void add (const RemainingWaitHistogram& other);
 
-    /** @returns nothing while too few were counted, or no heap stands out */
-    std::optional<Patience> find() const;
+    /** Estimates the timeouts of first attempts.
+        @returns nothing while too few waits have been counted, or when no cluster stands out
+    */
+    std::optional<TimeoutRange> findFirstAttempts() const;
 
     std::uint32_t total() const { return count; }
 
 private:
-    double smoothed (int bin) const;
-    int topBin() const;
-    std::optional<int> lowestBin (int top) const;
+    double smoothedCount (int bin) const;
+    int highestBinBelowOutliers() const;
+    std::optional<int> lowestClusterBin (int top) const;
 
-    std::map<int, std::uint32_t> bins; /**< By the logarithm of the announcement. */
+    std::map<int, std::uint32_t> bins; /**< Counts by the logarithm of the wait. */
     std::uint32_t count = 0;
 };
 
--- a/src/mesh/retry_after.cc
+++ b/src/mesh/retry_after.cc
@@ -9,20 +9,21 @@
 namespace
 {
 
-// Of the time left; clients heed up to a third of it.
-constexpr double leastShareInOverload = 0.2, mostShareInOverload = 0.33;
-constexpr double usualShare = 0.1;
+// These are shares of the time that the client still waits. Clients honour a Retry-After of up to a
+// third of it.
+constexpr double minShareInOverload = 0.2, maxShareInOverload = 0.33;
+constexpr double defaultShare = 0.1;
 
 } // namespace
 
-Milliseconds retryAfter (HopCause cause, Duration clientLeft, double spread)
+Milliseconds retryAfter (HopCause cause, Duration remainingWait, double jitter)
 {
     const bool overloaded = isAboutLoad (cause) || cause == HopCause::expired;
-    const auto share =
-        overloaded ? leastShareInOverload + spread * (mostShareInOverload - leastShareInOverload)
-                   : usualShare;
-    const auto left = std::max (toMilliseconds (clientLeft), 0.0);
-    return Milliseconds (static_cast<std::int64_t> (left * share) + 1);
+    const auto share = overloaded
+                           ? minShareInOverload + jitter * (maxShareInOverload - minShareInOverload)
+                           : defaultShare;
+    const auto remainingMs = std::max (toMilliseconds (remainingWait), 0.0);
+    return Milliseconds (static_cast<std::int64_t> (remainingMs * share) + 1);
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/retry_after.h
+++ b/src/mesh/retry_after.h
@@ -1,4 +1,4 @@
-/** When a client whose request was refused should come back. Deciding code without I/O. */
+/** Chooses the Retry-After time of a refused request. Makes decisions only and does no I/O. */
 #pragma once
 
 #include "base/time.h"
@@ -7,12 +7,13 @@
 namespace copperlead::mesh
 {
 
-/** Overload lasts, so those that it refuses are spread over the time that their clients have;
-    what was refused for one instance's sake finds another soon.
-    @param cause       why it was refused
-    @param clientLeft  for how long its client still waits
-    @param spread      drawn evenly from [0, 1)
+/** Overload lasts for some time, so retries of requests that it refused are spread over the time
+    that their clients still wait. A request that was refused because of a single instance can soon
+    be retried at another.
+    @param cause          why the request was refused
+    @param remainingWait  how much longer the client waits
+    @param jitter         random number, uniformly distributed over [0, 1)
 */
-Milliseconds retryAfter (HopCause cause, Duration clientLeft, double spread);
+Milliseconds retryAfter (HopCause cause, Duration remainingWait, double jitter);
 
 } // namespace copperlead::mesh
--- a/src/mesh/return_share.cc
+++ b/src/mesh/return_share.cc
@@ -5,7 +5,8 @@
 namespace
 {
 
-constexpr double leastShare = 0.25; // Of refusals, to be followed by a return.
+/** Clients are expected to retry if at least this share of refusals is followed by a retry. */
+constexpr double minRetryShare = 0.25;
 
 } // namespace
 
@@ -17,7 +18,7 @@
 {
     const auto found = returnsByRoute.find (route);
     const auto share = found == returnsByRoute.end() ? std::nullopt : found->second.value();
-    return share.value_or (1) >= leastShare;
+    return share.value_or (1) >= minRetryShare;
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/return_share.h
+++ b/src/mesh/return_share.h
@@ -1,6 +1,7 @@
-/** Whether clients come back after a refusal, by route. A request whose client does has another
-    chance, so that where only some can be sent again it goes behind those that have none: calls of
-    instances, and clients that are at their last attempt. Deciding code without I/O.
+/** Learns, by route, whether clients retry after a refusal. Where only some requests can be retried
+    within the mesh, those whose clients retry by themselves rank behind those that have no other
+    chance: calls of instances, and clients at their last attempt. Makes decisions only and does no
+    I/O.
 */
 #pragma once
 
@@ -16,17 +17,18 @@
 class ReturnShare
 {
 public:
-    /** A first attempt on this route was refused. */
+    /** Records that a first attempt on this route was refused. */
     void refused (const std::string& route);
 
-    /** A later attempt of a client came on this route. */
+    /** Records that a client's retry arrived on this route. */
     void returned (const std::string& route);
 
-    /** True as well while too little is known. */
+    /** Whether a client of this route is expected to retry. Also true while too little is known. */
     bool comesBack (const std::string& route) const;
 
 private:
-    std::unordered_map<std::string, RecentShare> returnsByRoute; /**< To the refusals. */
+    std::unordered_map<std::string, RecentShare>
+        returnsByRoute; /**< Retries relative to refusals. */
 };
 
 } // namespace copperlead::mesh
--- a/tests/mesh/attempt_age_test.cc
+++ b/tests/mesh/attempt_age_test.cc
@@ -13,12 +13,12 @@
 
 const std::string route = "lookup";
 
-Milliseconds observe (AttemptAges& ages, std::int64_t time, int announced)
+Milliseconds observe (AttemptAges& ages, std::int64_t time, int remainingWait)
 {
-    return ages.observe (at (time), route, Milliseconds (announced));
+    return ages.observe (at (time), route, Milliseconds (remainingWait));
 }
 
-TEST (AttemptAges, WhatIsAnnouncedLessWasSpentOnEarlierAttempts)
+TEST (AttemptAges, AShorterRemainingWaitGivesTheTimeOfEarlierAttempts)
 {
     AttemptAges ages;
     EXPECT_EQ (observe (ages, 0, 2500), Milliseconds (0));
@@ -27,7 +27,7 @@
     EXPECT_EQ (observe (ages, 3, 2500), Milliseconds (0));
 }
 
-TEST (AttemptAges, NothingIsConcludedWhereNoWaitStandsOut)
+TEST (AttemptAges, TheAgeIsZeroWhereNoWaitIsFrequent)
 {
     AttemptAges ages;
     observe (ages, 0, 9000);
@@ -38,14 +38,14 @@
     EXPECT_EQ (observe (ages, 30, 1500), Milliseconds (0));
 }
 
-TEST (AttemptAges, EachRouteHasItsOwnWait)
+TEST (AttemptAges, RoutesAreEstimatedSeparately)
 {
     AttemptAges ages;
     observe (ages, 0, 2500);
     EXPECT_EQ (ages.observe (at (1), "other", Milliseconds (400)), Milliseconds (0));
 }
 
-TEST (AttemptAges, AShorterPatienceIsLearnedAfterSomeTime)
+TEST (AttemptAges, AShorterTimeoutIsLearnedAfterSomeTime)
 {
     AttemptAges ages;
     observe (ages, 0, 2500);
@@ -57,64 +57,65 @@
     EXPECT_EQ (observe (ages, 60'000, 1000), Milliseconds (0));
 }
 
-/** Clients that wait for 2,500 to 3,000 ms from their first attempt on; a share of their attempts
-   are returns, after a third to a fifth of what they had left.
+/** Clients with timeouts of 2,500 to 3,000 ms. A share of their attempts are retries, which arrive
+    after a fifth to a third of the timeout.
 */
-struct ImpatientClients
+struct RetryingClients
 {
-    /** @returns the age that is concluded, and sets the true one */
+    /** @returns the estimated age; sets `age` to the true one */
     Milliseconds attempt (AttemptAges& ages, std::int64_t time, Milliseconds& age)
     {
-        std::uniform_real_distribution<double> patience (2500, 3000), spent (0.2, 0.33);
-        const auto whole = patience (random);
-        const bool returns = std::bernoulli_distribution (returning) (random);
-        age = Milliseconds (returns ? static_cast<int> (whole * spent (random)) + 20 : 0);
-        return ages.observe (at (time), route, Milliseconds (static_cast<int> (whole)) - age);
+        std::uniform_real_distribution<double> timeout (2500, 3000), shareElapsed (0.2, 0.33);
+        const auto timeoutMs = timeout (random);
+        const bool isRetry = std::bernoulli_distribution (retryShare) (random);
+        age =
+            Milliseconds (isRetry ? static_cast<int> (timeoutMs * shareElapsed (random)) + 20 : 0);
+        return ages.observe (at (time), route, Milliseconds (static_cast<int> (timeoutMs)) - age);
     }
 
-    double returning;
+    double retryShare;
     std::mt19937_64 random{ 1 };
 };
 
-TEST (AttemptAges, ReturnsAreToldFromClientsWithPatiencesOfTheirOwn)
+TEST (AttemptAges, RetriesAreDetectedAmongClientsWithIndividualTimeouts)
 {
-    for (const double returning : { 0.02, 0.3, 0.6 })
+    for (const double retryShare : { 0.02, 0.3, 0.6 })
     {
         AttemptAges ages;
-        ImpatientClients clients{ returning };
+        RetryingClients clients{ retryShare };
         int wrong = 0, counted = 0;
         Milliseconds age{};
 
-        // One outlier among them, which would hide that a wait stands out.
+        // After this outlier the longest wait is rare, so the age has to come from the histogram.
         observe (ages, 0, 8000);
 
         for (int time = 0; time < 30'000; time += 50)
         {
-            const auto concluded = clients.attempt (ages, time, age);
+            const auto estimated = clients.attempt (ages, time, age);
 
             if (time < 6000)
                 continue;
 
             ++counted;
-            wrong += (concluded == Milliseconds (0)) != (age == Milliseconds (0)) ? 1 : 0;
-            EXPECT_LE (std::chrono::abs (concluded - age), Milliseconds (450)) << time;
+            wrong += (estimated == Milliseconds (0)) != (age == Milliseconds (0)) ? 1 : 0;
+            EXPECT_LE (std::chrono::abs (estimated - age), Milliseconds (450)) << time;
         }
 
-        EXPECT_LT (wrong, counted / 50) << returning;
+        EXPECT_LT (wrong, counted / 50) << retryShare;
     }
 }
 
-TEST (AttemptAges, WaitsThatAreSpreadWidelySayNothing)
+TEST (AttemptAges, TheAgeIsZeroWhereWaitsAreWidelySpread)
 {
     AttemptAges ages;
     std::mt19937_64 random (2);
-    std::uniform_int_distribution<int> any (500, 3000);
+    std::uniform_int_distribution<int> anyWait (500, 3000);
 
     for (int time = 0; time < 30'000; time += 20)
     {
-        const auto age = observe (ages, time, any (random));
+        const auto age = observe (ages, time, anyWait (random));
 
-        // Of the first few the longest always stands out.
+        // Among the first few waits the longest is always frequent enough to count.
         if (time < 1000)
             continue;
 
--- a/tests/mesh/call_share_test.cc
+++ b/tests/mesh/call_share_test.cc
@@ -9,32 +9,32 @@
 namespace
 {
 
-/** An instance that is idle for that share of the time, sampled four times a second, beside
-    clients and its own calls, two a second each.
+/** A node beside an instance that is idle for the given share of the time. The instance is sampled
+    four times a second, and each route gets two requests a second.
 */
-class BesideAnInstance
+class NodeBesideInstance
 {
 public:
-    explicit BesideAnInstance (double idle)
+    explicit NodeBesideInstance (double idle)
         : isIdle (idle)
-        , comes (0.5)
+        , arrives (0.5)
     {
     }
 
-    void play (int samples)
+    void simulate (int samples)
     {
         for (int n = 0; n < samples; ++n)
         {
             share.sample (isIdle (random));
 
-            if (comes (random))
+            if (arrives (random))
                 share.observe ("clients", isIdle (random));
 
-            if (comes (random))
+            if (arrives (random))
                 share.observe ("calls", false);
 
-            if (comes (random))
-                share.observe ("both", comes (random) && isIdle (random));
+            if (arrives (random))
+                share.observe ("both", arrives (random) && isIdle (random));
         }
     }
 
@@ -42,39 +42,39 @@
 
 private:
     std::mt19937 random{ 5 };
-    std::bernoulli_distribution isIdle, comes;
+    std::bernoulli_distribution isIdle, arrives;
 };
 
-TEST (CallShare, AllAreCallsWhileLittleIsKnown)
+TEST (CallShare, AllRequestsCountAsCallsWhileLittleIsKnown)
 {
-    BesideAnInstance beside (0.6);
-    EXPECT_EQ (beside.share.of ("clients"), 1);
-    beside.play (5);
-    EXPECT_EQ (beside.share.of ("clients"), 1);
+    NodeBesideInstance node (0.6);
+    EXPECT_EQ (node.share.of ("clients"), 1);
+    node.simulate (5);
+    EXPECT_EQ (node.share.of ("clients"), 1);
 }
 
-TEST (CallShare, ClientsAreToldFromCallsWithinSeconds)
+TEST (CallShare, ClientsAreDistinguishedFromCallsWithinSeconds)
 {
-    BesideAnInstance beside (0.6);
-    beside.play (60);
-    EXPECT_LT (beside.share.of ("clients"), 0.5);
-    EXPECT_EQ (beside.share.of ("calls"), 1);
+    NodeBesideInstance node (0.6);
+    node.simulate (60);
+    EXPECT_LT (node.share.of ("clients"), 0.5);
+    EXPECT_EQ (node.share.of ("calls"), 1);
 }
 
-TEST (CallShare, ARouteThatBothUseIsCountedByItsShare)
+TEST (CallShare, ARouteUsedByBothGetsTheShareOfItsCalls)
 {
-    BesideAnInstance beside (0.6);
-    beside.play (4000);
-    EXPECT_LT (beside.share.of ("clients"), 0.15);
-    EXPECT_NEAR (beside.share.of ("both"), 0.5, 0.15);
-    EXPECT_EQ (beside.share.of ("calls"), 1);
+    NodeBesideInstance node (0.6);
+    node.simulate (4000);
+    EXPECT_LT (node.share.of ("clients"), 0.15);
+    EXPECT_NEAR (node.share.of ("both"), 0.5, 0.15);
+    EXPECT_EQ (node.share.of ("calls"), 1);
 }
 
-TEST (CallShare, BesideAnInstanceThatIsNeverIdleAllAreCalls)
+TEST (CallShare, AllRequestsCountAsCallsIfTheInstanceIsNeverIdle)
 {
-    BesideAnInstance beside (0);
-    beside.play (4000);
-    EXPECT_EQ (beside.share.of ("clients"), 1);
+    NodeBesideInstance node (0);
+    node.simulate (4000);
+    EXPECT_EQ (node.share.of ("clients"), 1);
 }
 
 } // namespace
--- a/tests/mesh/retry_after_test.cc
+++ b/tests/mesh/retry_after_test.cc
@@ -7,7 +7,7 @@
 namespace
 {
 
-TEST (RetryAfter, OverloadSpreadsReturnsOverUpToAThirdOfTheTimeLeft)
+TEST (RetryAfter, OverloadSpreadsRetriesOverUpToAThirdOfTheTimeLeft)
 {
     for (const auto cause : { HopCause::queueFull, HopCause::expired })
     {
@@ -16,7 +16,7 @@
     }
 }
 
-TEST (RetryAfter, WhatAnotherInstanceCanTakeComesBackSoon)
+TEST (RetryAfter, ARequestThatAnotherInstanceCanServeIsRetriedSoon)
 {
     for (const auto cause : { HopCause::none, HopCause::instanceDown, HopCause::nodeStopping })
         EXPECT_EQ (retryAfter (cause, Milliseconds (1000), 0.5), Milliseconds (101));
--- a/tests/mesh/return_share_test.cc
+++ b/tests/mesh/return_share_test.cc
@@ -13,7 +13,7 @@
         share.refused (route);
 }
 
-TEST (ReturnShare, ClientsAreExpectedBackWhileTooLittleIsKnown)
+TEST (ReturnShare, ClientsAreExpectedToRetryWhileTooLittleIsKnown)
 {
     ReturnShare share;
     EXPECT_TRUE (share.comesBack ("lookup"));
@@ -21,7 +21,7 @@
     EXPECT_TRUE (share.comesBack ("lookup"));
 }
 
-TEST (ReturnShare, CallsThatAreNeverSentAgainHaveNoOtherChance)
+TEST (ReturnShare, ClientsThatNeverRetryAreNotExpectedTo)
 {
     ReturnShare share;
     refuse (share, "call", 4);
@@ -29,7 +29,7 @@
     EXPECT_TRUE (share.comesBack ("lookup"));
 }
 
-TEST (ReturnShare, ClientsThatComeBackMostlyAreExpected)
+TEST (ReturnShare, ClientsThatOftenRetryAreExpectedTo)
 {
     ReturnShare share;
 
@@ -42,7 +42,7 @@
     EXPECT_TRUE (share.comesBack ("lookup"));
 }
 
-TEST (ReturnShare, WhatClientsDidLongAgoIsForgotten)
+TEST (ReturnShare, OldObservationsAreForgotten)
 {
     ReturnShare share;
 
