--- a/src/mesh/retry_decision.cc
+++ b/src/mesh/retry_decision.cc
@@ -5,8 +5,8 @@
 namespace
 {
 
-/** A retry is worth its cost only if it can be expected to finish. */
-bool enoughTime (const RetryFacts& facts) { return facts.timeLeft > facts.usualRun * 6 / 10; }
+/** A retry is worth its cost only if it can be expected to finish before the deadline. */
+bool hasTimeForRun (const RetryFacts& facts) { return facts.timeLeft > facts.usualRun * 6 / 10; }
 
 } // namespace
 
@@ -18,7 +18,8 @@
     if (outcome == AttemptOutcome::timedOut)
         return NextStep::timeOut;
 
-    // An idempotent request may be refused after a run, but the refusal would not be true.
+    // A refusal states that the request has not run. This would be untrue even where a repeat is
+    // harmless because the request is idempotent.
     if (outcome == AttemptOutcome::unknown || facts.mayHaveRun)
         return NextStep::giveUp;
 
@@ -30,7 +31,7 @@
     if (facts.isHeld && outcome != AttemptOutcome::answered && outcome != AttemptOutcome::timedOut)
         return withoutRetry (facts, outcome);
 
-    const bool mayArriveAgain = facts.arrivals < facts.maxAttempts && enoughTime (facts);
+    const bool mayArriveAgain = facts.arrivals < facts.maxAttempts && hasTimeForRun (facts);
 
     switch (outcome)
     {
@@ -52,7 +53,7 @@
         break;
 
     case AttemptOutcome::notOffered:
-        if (facts.notOffered < mostHandBacks && enoughTime (facts))
+        if (facts.notOffered < maxNotOffered && hasTimeForRun (facts))
             return NextStep::tryAgain;
         break;
     }
--- a/src/mesh/stop_plan.cc
+++ b/src/mesh/stop_plan.cc
@@ -12,8 +12,8 @@
 StopStep StopPlan::at (Timestamp now, bool idle) const
 {
     StopStep step;
-    step.stopListening = since (now) >= noticeTime;
-    step.stopTaking = now >= endsAt - lastRunTime;
+    step.stopListening = since (now) >= drainNoticeTime;
+    step.stopTaking = now >= endsAt - lastRequestTime;
     step.end = now >= endsAt || (step.stopListening && idle);
     return step;
 }
--- a/src/mesh/stop_plan.h
+++ b/src/mesh/stop_plan.h
@@ -1,4 +1,6 @@
-/** The steps of a planned stop, by the time since its signal. Deciding code without I/O. */
+/** The steps of a graceful shutdown, by the time since its signal. Makes decisions only and does no
+    I/O.
+*/
 #pragma once
 
 #include "base/time.h"
@@ -6,33 +8,41 @@
 namespace copperlead::mesh
 {
 
-/** What holds at some moment of a stop. */
+/** What applies at one moment of a shutdown. */
 struct StopStep
 {
-    bool stopListening = false; /**< No new client is sent here any longer. */
-    bool stopTaking = false;    /**< What comes now could not end in time. */
-    bool end = false;           /**< Nothing is left to do, or no time to do it. */
+    bool stopListening = false; /**< The platform no longer sends new clients here. */
+    bool stopTaking = false;    /**< A request that arrives now could not finish in time. */
+    bool end = false;           /**< No work or no time is left. */
 };
 
+/** The schedule of a graceful shutdown. */
 class StopPlan
 {
 public:
-    /** @param grace  from the signal until the process is killed */
+    /** @param grace  time from the signal until the process is killed */
     StopPlan (Timestamp signalledAt, Milliseconds grace);
 
-    /** @param idle  nothing is in flight and no client is connected */
+    /** @param idle  whether no request is in flight and no client is connected */
     StopStep at (Timestamp now, bool idle) const;
 
-    /** When the last answers must be on their way. */
+    /** The time by which the last answers must have been sent off. */
     Timestamp answersBy() const { return endsAt - answerMargin; }
 
     Duration since (Timestamp now) const { return now - start; }
 
 private:
-    static constexpr Milliseconds noticeTime{ 3000 }; // Until the platform sends no new client.
+    /** Time after which the platform has stopped sending new clients. */
+    static constexpr Milliseconds drainNoticeTime{ 3000 };
+
+    /** The process ends by itself this long before it would be killed. */
     static constexpr Milliseconds killMargin{ 300 };
-    static constexpr Milliseconds answerMargin{ 150 }; // For the last answers to be written.
-    static constexpr Milliseconds lastRunTime{ 1200 }; // Left for requests that were taken last.
+
+    /** Time reserved for writing the last answers. */
+    static constexpr Milliseconds answerMargin{ 150 };
+
+    /** Time reserved for the requests that are accepted last. */
+    static constexpr Milliseconds lastRequestTime{ 1200 };
 
     Timestamp start, endsAt;
 };
--- a/tests/mesh/retry_decision_test.cc
+++ b/tests/mesh/retry_decision_test.cc
@@ -10,49 +10,52 @@
 using Outcome = AttemptOutcome;
 using Step = NextStep;
 
-constexpr bool repeatable = true, once = false;
+constexpr bool repeatable = true, notRepeatable = false;
 constexpr bool ranBefore = true, notRunBefore = false;
 
-/** Fault x kind of request x what was sent -> what follows, and what if there is no retry left. */
-struct Case
+/** An attempt's outcome and the state of the request, with the expected next step and the expected
+    final answer when no retry is possible.
+*/
+struct DecisionCase
 {
-    const char* what;
+    const char* description;
     Outcome outcome;
     bool mayRepeat;
-    int arrivals;  /**< This attempt's included. */
-    int handBacks; /**< This attempt's included. */
+    int arrivals;   /**< Includes this attempt. */
+    int notOffered; /**< Includes this attempt. */
     bool mayHaveRun;
-    int leftMs;
+    int timeLeftMs;
     Step step, withoutRetry;
 };
 
-const Case cases[] = {
-    { "answered", Outcome::answered, once, 1, 0, notRunBefore, 400, Step::passOn, Step::passOn },
-    { "own failure, repeatable", Outcome::failedByApp, repeatable, 1, 0, ranBefore, 400,
-      Step::spendRetry, Step::passOn },
-    { "own failure, once", Outcome::failedByApp, once, 1, 0, ranBefore, 400, Step::passOn,
+const DecisionCase cases[] = {
+    { "answered", Outcome::answered, notRepeatable, 1, 0, notRunBefore, 400, Step::passOn,
       Step::passOn },
-    { "own failure, attempts used", Outcome::failedByApp, repeatable, 2, 0, ranBefore, 400,
+    { "application failure, repeatable", Outcome::failedByApp, repeatable, 1, 0, ranBefore, 400,
+      Step::spendRetry, Step::passOn },
+    { "application failure, not repeatable", Outcome::failedByApp, notRepeatable, 1, 0, ranBefore,
+      400, Step::passOn, Step::passOn },
+    { "application failure, attempts used", Outcome::failedByApp, repeatable, 2, 0, ranBefore, 400,
       Step::passOn, Step::passOn },
     { "lost answer, repeatable", Outcome::unknown, repeatable, 1, 0, ranBefore, 400,
       Step::spendRetry, Step::giveUp },
-    { "lost answer, once: never again, never refused", Outcome::unknown, once, 1, 0, ranBefore, 400,
-      Step::giveUp, Step::giveUp },
+    { "lost answer, not repeatable: neither sent again nor refused", Outcome::unknown,
+      notRepeatable, 1, 0, ranBefore, 400, Step::giveUp, Step::giveUp },
     { "lost answer, no time left", Outcome::unknown, repeatable, 1, 0, ranBefore, 50, Step::giveUp,
       Step::giveUp },
-    { "rejected, once", Outcome::rejected, once, 1, 0, notRunBefore, 400, Step::spendRetry,
-      Step::refuse },
-    { "rejected, attempts used", Outcome::rejected, once, 2, 0, notRunBefore, 400, Step::refuse,
-      Step::refuse },
+    { "rejected, not repeatable", Outcome::rejected, notRepeatable, 1, 0, notRunBefore, 400,
+      Step::spendRetry, Step::refuse },
+    { "rejected, attempts used", Outcome::rejected, notRepeatable, 2, 0, notRunBefore, 400,
+      Step::refuse, Step::refuse },
     { "rejected after a lost answer", Outcome::rejected, repeatable, 2, 0, ranBefore, 400,
       Step::giveUp, Step::giveUp },
-    { "handed back, once", Outcome::notOffered, once, 0, 1, notRunBefore, 400, Step::tryAgain,
-      Step::refuse },
-    { "handed back too often", Outcome::notOffered, once, 0, mostHandBacks, notRunBefore, 400,
+    { "not offered, not repeatable", Outcome::notOffered, notRepeatable, 0, 1, notRunBefore, 400,
+      Step::tryAgain, Step::refuse },
+    { "not offered too often", Outcome::notOffered, notRepeatable, 0, maxNotOffered, notRunBefore,
+      400, Step::refuse, Step::refuse },
+    { "not offered, no time left", Outcome::notOffered, notRepeatable, 0, 1, notRunBefore, 50,
       Step::refuse, Step::refuse },
-    { "handed back, no time left", Outcome::notOffered, once, 0, 1, notRunBefore, 50, Step::refuse,
-      Step::refuse },
-    { "handed back after a lost answer", Outcome::notOffered, repeatable, 1, mostHandBacks,
+    { "not offered after a lost answer", Outcome::notOffered, repeatable, 1, maxNotOffered,
       ranBefore, 400, Step::giveUp, Step::giveUp },
     { "timed out", Outcome::timedOut, repeatable, 1, 0, ranBefore, 0, Step::timeOut,
       Step::timeOut },
@@ -60,22 +63,23 @@
 
 TEST (RetryDecision, Table)
 {
-    for (const auto& wanted : cases)
+    for (const auto& expected : cases)
     {
         RetryFacts facts;
-        facts.mayRepeat = wanted.mayRepeat;
+        facts.mayRepeat = expected.mayRepeat;
         facts.maxAttempts = 2;
-        facts.arrivals = wanted.arrivals;
-        facts.notOffered = wanted.handBacks;
-        facts.timeLeft = Milliseconds (wanted.leftMs);
+        facts.arrivals = expected.arrivals;
+        facts.notOffered = expected.notOffered;
+        facts.timeLeft = Milliseconds (expected.timeLeftMs);
         facts.usualRun = Milliseconds (100);
-        facts.mayHaveRun = wanted.mayHaveRun;
-        EXPECT_EQ (decideNextStep (facts, wanted.outcome), wanted.step) << wanted.what;
-        EXPECT_EQ (withoutRetry (facts, wanted.outcome), wanted.withoutRetry) << wanted.what;
+        facts.mayHaveRun = expected.mayHaveRun;
+        EXPECT_EQ (decideNextStep (facts, expected.outcome), expected.step) << expected.description;
+        EXPECT_EQ (withoutRetry (facts, expected.outcome), expected.withoutRetry)
+            << expected.description;
     }
 }
 
-TEST (RetryDecision, WhatIsHeldIsAnsweredAtOnce)
+TEST (RetryDecision, AHeldRequestGetsItsFinalAnswerAtOnce)
 {
     RetryFacts facts;
     facts.mayRepeat = true;
@@ -91,7 +95,7 @@
     EXPECT_EQ (decideNextStep (facts, Outcome::notOffered), Step::giveUp);
 }
 
-TEST (RetryDecision, WhatMayRunOnceIsNeverSentAgainAfterItMayHaveRun)
+TEST (RetryDecision, ARequestThatIsNotIdempotentIsNeverSentAgainAfterItMayHaveRun)
 {
     for (const auto outcome : { Outcome::failedByApp, Outcome::unknown, Outcome::rejected })
     {
--- a/tests/mesh/stop_plan_test.cc
+++ b/tests/mesh/stop_plan_test.cc
@@ -11,33 +11,33 @@
 
 constexpr bool idle = true, busy = false;
 
-/** A stop with 6 s until the kill. */
+/** A shutdown with a grace period of 6 s. */
 class Stopping : public ::testing::Test
 {
 protected:
     StopPlan plan{ at (0), Milliseconds (6000) };
 };
 
-TEST_F (Stopping, ListensUntilNoNewClientIsSentHere)
+TEST_F (Stopping, ListensUntilThePlatformSendsNoNewClients)
 {
     EXPECT_FALSE (plan.at (at (2999), idle).stopListening);
     EXPECT_FALSE (plan.at (at (2999), idle).end);
     EXPECT_TRUE (plan.at (at (3000), busy).stopListening);
 }
 
-TEST_F (Stopping, EndsOnceNothingIsLeft)
+TEST_F (Stopping, EndsOnceNoWorkIsLeft)
 {
     EXPECT_TRUE (plan.at (at (3000), idle).end);
     EXPECT_FALSE (plan.at (at (3000), busy).end);
 }
 
-TEST_F (Stopping, TakesNothingThatCouldNotEnd)
+TEST_F (Stopping, AcceptsNoRequestThatCouldNotFinish)
 {
     EXPECT_FALSE (plan.at (at (4499), busy).stopTaking);
     EXPECT_TRUE (plan.at (at (4500), busy).stopTaking);
 }
 
-TEST_F (Stopping, EndsBeforeTheKillAndAnswersBeforeItsEnd)
+TEST_F (Stopping, EndsBeforeTheKillAndAnswersBeforeTheEnd)
 {
     EXPECT_FALSE (plan.at (at (5699), busy).end);
     EXPECT_TRUE (plan.at (at (5700), busy).end);
