--- a/src/mesh/retry_budget.cc
+++ b/src/mesh/retry_budget.cc
@@ -9,54 +9,54 @@
 namespace
 {
 
-// Three standard deviations of an evenly drawn threshold: for one node, in whole retries.
-constexpr double thresholdDoubt = 0.866;
+/** Three standard deviations of a uniformly drawn threshold, in retries, for one node. */
+constexpr double roundingMargin = 0.866;
 
-// Claims are foretold for half as long again as they are counted for.
-constexpr double forecastLength = 1.5;
+/** The forecast covers a period 1.5 times as long as the one in which claims are counted. */
+constexpr double forecastFactor = 1.5;
 
-// What few requests claim says little of how many will.
-constexpr double requestsToBelieve = 8;
+/** Added to the number of requests, so that a few requests have little effect on the forecast. */
+constexpr double priorRequests = 8;
 
-Timestamp wholeSlackFromOf (const RetryBudgetSettings& settings, Timestamp startedAt)
+Timestamp fullSlackStart (const RetryBudgetSettings& settings, Timestamp startedAt)
 {
     return startedAt == Timestamp::min() ? startedAt : startedAt + settings.window;
 }
 
 } // namespace
 
-double shareToSpend (const RetryBudgetSettings& settings, std::size_t nodes)
+double spendableShare (const RetryBudgetSettings& settings, std::size_t nodes)
 {
     const auto count = static_cast<double> (std::max<std::size_t> (nodes, 1));
-    return std::max (settings.leastShare,
-                     1 - settings.lastingDoubt - thresholdDoubt / std::sqrt (count));
+    return std::max (settings.minShare,
+                     1 - settings.safetyMargin - roundingMargin / std::sqrt (count));
 }
 
 RetryBudget::RetryBudget (const RetryBudgetSettings& settingsToUse, Timestamp startedAt,
                           double thresholdToUse)
     : settings (settingsToUse)
-    , wholeSlackFrom (wholeSlackFromOf (settingsToUse, startedAt))
+    , fullSlackFrom (fullSlackStart (settingsToUse, startedAt))
     , threshold (thresholdToUse)
 {
 }
 
 std::size_t RetryBudget::rankOf (const RetryClaim& claim)
 {
-    const auto least = static_cast<int> (priorityCount) - 1;
-    const auto priority = static_cast<std::size_t> (std::clamp (claim.priority, 0, least));
-    return claim.lastChance ? priority : priorityCount + priority;
+    const auto lowest = static_cast<int> (numPriorities) - 1;
+    const auto priority = static_cast<std::size_t> (std::clamp (claim.priority, 0, lowest));
+    return claim.noClientRetryExpected ? priority : numPriorities + priority;
 }
 
 std::int64_t RetryBudget::indexOf (Timestamp now) const
 {
-    const auto width = std::chrono::duration_cast<Duration> (settings.window) / bucketsInWindow;
+    const auto width = std::chrono::duration_cast<Duration> (settings.window) / numWindowBuckets;
     return now.time_since_epoch() / std::max (width, Duration (1));
 }
 
 RetryBudget::Bucket& RetryBudget::bucketAt (Timestamp now)
 {
     const auto index = indexOf (now);
-    auto& bucket = buckets[static_cast<std::size_t> (index) % bucketCount];
+    auto& bucket = buckets[static_cast<std::size_t> (index) % numBuckets];
 
     if (bucket.index != index)
         bucket = { index, 0, 0, {} };
@@ -64,11 +64,11 @@
     return bucket;
 }
 
-void RetryBudget::countRequest (Timestamp now, double inheritedShare)
+void RetryBudget::countRequest (Timestamp now, double repeatShare)
 {
     auto& bucket = bucketAt (now);
     bucket.requests += 1;
-    bucket.retries += inheritedShare;
+    bucket.retries += repeatShare;
 }
 
 double RetryBudget::left (Timestamp now, std::size_t nodes) const
@@ -79,55 +79,56 @@
     for (const auto& bucket : buckets)
     {
         const auto age = newest - bucket.index;
-        requests += age < bucketsInWindow ? bucket.requests : 0;
-        retries += age <= bucketsInWindow ? bucket.retries : 0;
+        requests += age < numWindowBuckets ? bucket.requests : 0;
+        retries += age <= numWindowBuckets ? bucket.retries : 0;
     }
 
-    const auto part = partOf (now, requests, nodes);
-    return part > 0 ? part + threshold - retries : -retries;
+    const auto budget = nodeBudget (now, requests, nodes);
+    return budget > 0 ? budget + threshold - retries : -retries;
 }
 
-double RetryBudget::partOf (Timestamp now, double requests, std::size_t nodes) const
+double RetryBudget::nodeBudget (Timestamp now, double requests, std::size_t nodes) const
 {
-    const auto share = shareToSpend (settings, nodes);
+    const auto share = spendableShare (settings, nodes);
     const auto slack = settings.slack / static_cast<double> (std::max<std::size_t> (nodes, 1));
-    return share * settings.ratio * requests + (now < wholeSlackFrom ? 1 - share : share) * slack;
+    return share * settings.ratio * requests + (now < fullSlackFrom ? 1 - share : share) * slack;
 }
 
-double RetryBudget::betterClaims (Timestamp now, std::size_t rank) const
+double RetryBudget::recentHigherRankedClaims (Timestamp now, std::size_t rank) const
 {
     const auto newest = indexOf (now);
     double claims = 0;
 
     for (const auto& bucket : buckets)
-        if (newest - bucket.index < bucketsOfReserve)
+        if (newest - bucket.index < numReserveBuckets)
             claims += std::accumulate (bucket.claims.begin(), bucket.claims.begin() + rank, 0.0);
 
     return claims;
 }
 
-double RetryBudget::claimsToComeBack (Timestamp now) const
+double RetryBudget::expectedClientRetries (Timestamp now) const
 {
     const auto newest = indexOf (now);
     double claims = 0, requests = 0;
 
     for (const auto& bucket : buckets)
     {
-        if (newest - bucket.index >= bucketsOfForecast)
+        if (newest - bucket.index >= numForecastBuckets)
             continue;
 
-        claims += std::accumulate (bucket.claims.begin() + priorityCount, bucket.claims.end(), 0.0);
+        claims += std::accumulate (bucket.claims.begin() + numPriorities, bucket.claims.end(), 0.0);
         requests += bucket.requests;
     }
 
-    const auto failingShare = std::min (claims / (requests + requestsToBelieve), 1.0);
-    return forecastLength * claims * failingShare;
+    const auto claimShare = std::min (claims / (requests + priorRequests), 1.0);
+    return forecastFactor * claims * claimShare;
 }
 
-double RetryBudget::reserveBefore (Timestamp now, std::size_t rank) const
+double RetryBudget::reserveFor (Timestamp now, std::size_t rank) const
 {
-    const auto better = betterClaims (now, rank);
-    return rank < priorityCount ? better : std::max (better, claimsToComeBack (now));
+    const auto higherRanked = recentHigherRankedClaims (now, rank);
+    return rank < numPriorities ? higherRanked
+                                : std::max (higherRanked, expectedClientRetries (now));
 }
 
 bool RetryBudget::take (Timestamp now, std::size_t nodes, const RetryClaim& claim)
@@ -136,7 +137,7 @@
     auto& bucket = bucketAt (now);
     ++bucket.claims[rank];
 
-    if (left (now, nodes) < 1 + reserveBefore (now, rank))
+    if (left (now, nodes) < 1 + reserveFor (now, rank))
         return false;
 
     bucket.retries += 1;
--- a/src/mesh/retry_budget.h
+++ b/src/mesh/retry_budget.h
@@ -1,27 +1,30 @@
-/** The part of a fleet-wide retry budget that one node may spend without asking the others.
-
-    The fleet's budget over a sliding window is ratio x requests + slack. A node counts its own
-    requests and takes ratio x those, and an equal part of the slack; since the requests of all
-    nodes add up to the fleet's, the parts can't add up to more than the whole. Answers the load of
-    a service that turns away far more than can be sent again.
-
-    The more nodes share a budget, the smaller are the parts, and the more of it would be lost by
-    rounding each down to whole retries. So every node rounds at a threshold of its own, drawn
-    evenly: some round up and as many down. What then is spent too much at one node is spent too
-    little at another, so that the larger the fleet, the larger the share of its budget that it may
-    spend (shareToSpend()).
-
-    A node that has just started can't know what its forerunner spent, so of the slack it takes only
-    what nobody spends otherwise: were all nodes to start again, the fleet's slack would still last.
-
-    Where not all can be sent again, those go first that have no other chance, then the more urgent
-    (RetryClaim): a retry spent on a request whose client comes back anyway serves about half as
-    many. What the better claims asked for lately is kept back from the others, and what the others
-    will ask for when their clients come back.
-
-    The calls that an instance makes in a repeated run are repeats at the service that it calls.
-    A node can't tell which of them are, so it charges the share of repeats among the runs beside it
-    to the requests that begin there, as far as they may be calls (CallShare).
+/** The part of a fleet-wide retry budget that one node may spend without coordination.
+
+    The fleet's budget over a sliding window is ratio x requests + slack. A node may spend ratio x
+    its own requests and an equal part of the slack. Since the requests of all nodes add up to the
+    fleet's, the parts can't exceed the whole. The budget limits the load on a service that refuses
+    far more requests than can be retried.
+
+    The more nodes share a budget, the smaller the parts become, and the more of it would be lost by
+    rounding each part down to whole retries. So every node rounds at its own threshold, drawn from
+    a uniform distribution: some round up and as many round down. What one node overspends another
+    underspends, so the larger the fleet, the larger the share of its budget that it may spend
+    (spendableShare()).
+
+    A node that has just started can't know what its predecessor spent. So it takes only that part
+    of the slack which its predecessor could not have spent: even if all nodes restarted, the fleet
+    would stay within its slack.
+
+    Where not all requests can be retried, those whose clients won't retry by themselves go first,
+    then the more urgent (RetryClaim): a retry spent on a request whose client retries anyway serves
+    about half as many. As many retries as higher-ranked claims recently asked for are
+    reserved for them. Against claims whose clients retry, the expected retries of these clients
+    are reserved too.
+
+    The calls that an instance makes during a repeated run are repeats at the service that it calls.
+    A node can't tell which calls these are. So it charges the share of repeats among the runs
+    beside it to the requests that start there, in proportion to the share of them that may be calls
+    (CallShare).
 */
 #pragma once
 
@@ -38,22 +41,25 @@
     double ratio = 0.2;
     double slack = 64;
     Milliseconds window{ 10'000 };
-    double leastShare = 0.6; /**< Of its part, that a node may spend in a fleet of any size. */
+    double minShare = 0.6; /**< Share of its part that a node may always spend. */
 
-    /** Of a part: nothing is sure about traffic that comes in pulses shorter than a window, nor
-        about the time between a retry's decision and its arrival. Fleets of any size have it.
+    /** Share of a part that is left unspent whatever the size of the fleet, unless minShare permits
+        more. It allows for traffic that comes in pulses shorter than a window, and for the time
+        between the decision to retry and the retry's arrival.
     */
-    double lastingDoubt = 0.15;
+    double safetyMargin = 0.15;
 };
 
-/** What a request that asks for a retry is worth, beside others that ask. */
+/** The rank of a request that asks for a retry among others that do. */
 struct RetryClaim
 {
-    bool lastChance = false; /**< Its client isn't expected to come back if it is refused. */
-    int priority = 0;        /**< 0 is the most urgent. */
+    bool noClientRetryExpected = false; /**< Its client isn't expected to retry after a refusal. */
+    int priority = 0;                   /**< 0 is the most urgent. */
 };
 
-/** Of a second attempt beside one that may still be answered: any other claim is before it. */
+/** The claim of a hedge, which is a second attempt while the first may still be answered. It ranks
+    in the lowest class.
+*/
 inline constexpr RetryClaim hedgeClaim{ false, 1 << 20 };
 
 /** One service's budget at one node. Not thread-safe. */
@@ -61,61 +67,63 @@
 {
 public:
     /** @param startedAt  when this node started
-        @param threshold  from [0, 1): the part of a whole retry from which this node rounds up is
-                          1 - threshold; evenly drawn, and kept for the node's life
+        @param threshold  uniformly drawn from [0, 1) and kept for the node's lifetime; a fraction
+                          of a retry of at least 1 - threshold is rounded up
     */
     explicit RetryBudget (const RetryBudgetSettings& settingsToUse,
                           Timestamp startedAt = Timestamp::min(), double threshold = 0);
 
-    /** @param inheritedShare  of the runs beside this node that are repeats, 0 to 1 */
-    void countRequest (Timestamp now, double inheritedShare = 0);
+    /** Counts a request that starts at this node.
+        @param repeatShare  share of repeats, from 0 to 1, that is charged to the request
+    */
+    void countRequest (Timestamp now, double repeatShare = 0);
 
-    /** Spends one retry if the budget has one.
-        @param nodes  how many nodes share the slack
+    /** Spends one retry if the budget and the reserve for higher-ranked claims allow it.
+        @param nodes  number of nodes that share the slack
     */
     bool take (Timestamp now, std::size_t nodes, const RetryClaim& claim);
 
-    /** What is left, for logs and metrics. */
+    /** The unspent part of the budget, which may be negative. */
     double left (Timestamp now, std::size_t nodes) const;
 
 private:
-    static constexpr std::int64_t bucketsInWindow = 20;
+    static constexpr std::int64_t numWindowBuckets = 20;
 
-    /** One more than a window, which may begin in the middle of the oldest. */
-    static constexpr std::size_t bucketCount = bucketsInWindow + 1;
+    /** One bucket more than a window, since a window may begin in the middle of the oldest. */
+    static constexpr std::size_t numBuckets = numWindowBuckets + 1;
 
-    /** Priorities from the last on count alike. */
-    static constexpr std::size_t priorityCount = 8;
-    static constexpr std::size_t rankCount = 2 * priorityCount;
+    /** Less urgent priorities count as the last of these. */
+    static constexpr std::size_t numPriorities = 8;
+    static constexpr std::size_t numRanks = 2 * numPriorities;
 
-    /** Better claims of so long are kept back for those to come. */
-    static constexpr std::int64_t bucketsOfReserve = 4;
+    /** Number of recent buckets whose higher-ranked claims determine the reserve. */
+    static constexpr std::int64_t numReserveBuckets = 4;
 
-    /** From the claims of so long it is foretold how many come back. */
-    static constexpr std::int64_t bucketsOfForecast = 8;
+    /** Number of recent buckets from which the number of client retries is forecast. */
+    static constexpr std::int64_t numForecastBuckets = 8;
 
     struct Bucket
     {
         std::int64_t index = -1;
-        double requests = 0, retries = 0; /**< Fractions: of what is inherited. */
-        std::array<std::uint32_t, rankCount> claims{};
+        double requests = 0, retries = 0; /**< Retries include fractional repeat shares. */
+        std::array<std::uint32_t, numRanks> claims{};
     };
 
     static std::size_t rankOf (const RetryClaim& claim);
     Bucket& bucketAt (Timestamp now);
     std::int64_t indexOf (Timestamp now) const;
-    double betterClaims (Timestamp now, std::size_t rank) const;
-    double claimsToComeBack (Timestamp now) const;
-    double partOf (Timestamp now, double requests, std::size_t nodes) const;
-    double reserveBefore (Timestamp now, std::size_t rank) const;
+    double recentHigherRankedClaims (Timestamp now, std::size_t rank) const;
+    double expectedClientRetries (Timestamp now) const;
+    double nodeBudget (Timestamp now, double requests, std::size_t nodes) const;
+    double reserveFor (Timestamp now, std::size_t rank) const;
 
     RetryBudgetSettings settings;
-    Timestamp wholeSlackFrom; /**< Before it a forerunner may have spent its share of the slack. */
+    Timestamp fullSlackFrom; /**< Until then a predecessor's spending may still be in the window. */
     double threshold;
-    std::array<Bucket, bucketCount> buckets{};
+    std::array<Bucket, numBuckets> buckets{};
 };
 
-/** The share of its part of a budget that each of so many nodes may spend. */
-double shareToSpend (const RetryBudgetSettings& settings, std::size_t nodes);
+/** The share of its part of the budget that each of `nodes` nodes may spend. */
+double spendableShare (const RetryBudgetSettings& settings, std::size_t nodes);
 
 } // namespace copperlead::mesh
--- a/tests/mesh/retry_budget_test.cc
+++ b/tests/mesh/retry_budget_test.cc
@@ -15,34 +15,34 @@
 namespace
 {
 
-/** A tenth of the requests may be retried, without slack, all of it by this node. */
-RetryBudgetSettings tenth()
+/** A budget of a tenth of the requests without slack, all of which this node may spend. */
+RetryBudgetSettings tenPercentOfRequests()
 {
     RetryBudgetSettings settings;
     settings.ratio = 0.1;
     settings.slack = 0;
-    settings.leastShare = 1;
+    settings.minShare = 1;
     return settings;
 }
 
-/** So many retries in a window, whatever is requested, all of them by this node. */
+/** A fixed number of retries per window, all of which this node may spend. */
 RetryBudgetSettings slackOnly (double retries)
 {
     RetryBudgetSettings settings;
     settings.ratio = 0;
     settings.slack = retries;
-    settings.leastShare = 1;
+    settings.minShare = 1;
     return settings;
 }
 
-/** Nothing is kept back from it. */
-constexpr RetryClaim onlyChance{ true, 0 };
+/** No retries are reserved for others before this claim. */
+constexpr RetryClaim highestClaim{ true, 0 };
 
-int taken (RetryBudget& budget, std::int64_t time)
+int spendAll (RetryBudget& budget, std::int64_t time)
 {
     int count = 0;
 
-    while (budget.take (at (time), 1, onlyChance))
+    while (budget.take (at (time), 1, highestClaim))
         ++count;
 
     return count;
@@ -50,68 +50,68 @@
 
 TEST (MeshRetryBudget, SpendsItsShareOfTheRequestsInTheWindow)
 {
-    RetryBudget budget (tenth());
+    RetryBudget budget (tenPercentOfRequests());
 
     for (int n = 0; n < 100; ++n)
         budget.countRequest (at (n));
 
-    EXPECT_EQ (taken (budget, 100), 10);
-    EXPECT_EQ (taken (budget, 11'000), 0) << "the requests have left the window";
+    EXPECT_EQ (spendAll (budget, 100), 10);
+    EXPECT_EQ (spendAll (budget, 11'000), 0) << "the requests have left the window";
 }
 
 TEST (MeshRetryBudget, CallsOfRepeatedRunsAreChargedAsRepeats)
 {
-    RetryBudget budget (tenth());
+    RetryBudget budget (tenPercentOfRequests());
 
     for (int n = 0; n < 100; ++n)
         budget.countRequest (at (n), 0.06);
 
-    EXPECT_EQ (taken (budget, 100), 4);
+    EXPECT_EQ (spendAll (budget, 100), 4);
 }
 
-TEST (MeshRetryBudget, NothingIsLeftWhereRepeatsAlreadyExceedIt)
+TEST (MeshRetryBudget, NothingIsLeftWhereRepeatsExceedTheBudget)
 {
-    RetryBudget budget (tenth());
+    RetryBudget budget (tenPercentOfRequests());
 
     for (int n = 0; n < 100; ++n)
         budget.countRequest (at (n), 0.2);
 
-    EXPECT_EQ (taken (budget, 100), 0);
+    EXPECT_EQ (spendAll (budget, 100), 0);
     EXPECT_LT (budget.left (at (100), 1), 0);
 }
 
-TEST (MeshRetryBudget, ANodeThatHasJustStartedTakesOfTheSlackWhatItsForerunnerLeft)
+TEST (MeshRetryBudget, ARestartedNodeTakesTheSlackThatItsPredecessorCouldNotSpend)
 {
     RetryBudgetSettings settings;
     settings.slack = 100;
-    RetryBudget forerunner (settings), budget (settings, at (0));
-    EXPECT_EQ (taken (forerunner, 0), 60);
-    EXPECT_EQ (taken (budget, 9'000), 40);
-    EXPECT_EQ (taken (budget, 10'001), 20) << "its own share, 40 of which is spent";
+    RetryBudget predecessor (settings), budget (settings, at (0));
+    EXPECT_EQ (spendAll (predecessor, 0), 60);
+    EXPECT_EQ (spendAll (budget, 9'000), 40);
+    EXPECT_EQ (spendAll (budget, 10'001), 20) << "its own share of 60, of which 40 are spent";
 }
 
-TEST (MeshRetryBudget, OverTwiceAWindowNoMoreIsSpentThanTwoBudgets)
+TEST (MeshRetryBudget, AtMostTwoBudgetsAreSpentInTwoWindows)
 {
     RetryBudget budget (slackOnly (10));
-    EXPECT_EQ (taken (budget, 490), 10) << "at the end of a bucket";
-    EXPECT_EQ (taken (budget, 10'010), 0) << "less than a window later";
-    EXPECT_EQ (taken (budget, 10'500), 10);
+    EXPECT_EQ (spendAll (budget, 490), 10) << "at the end of a bucket";
+    EXPECT_EQ (spendAll (budget, 10'010), 0) << "less than a window later";
+    EXPECT_EQ (spendAll (budget, 10'500), 10);
 }
 
-TEST (MeshRetryBudget, WhatHasNoOtherChanceGoesFirstThenTheMoreUrgent)
+TEST (MeshRetryBudget, RequestsWithoutClientRetryGoFirstThenTheMoreUrgent)
 {
-    const RetryClaim last{ true, 2 }, urgent{ false, 1 }, other{ false, 2 };
+    const RetryClaim noClientRetry{ true, 2 }, urgent{ false, 1 }, other{ false, 2 };
     RetryBudget budget (slackOnly (4));
-    EXPECT_TRUE (budget.take (at (0), 1, last));
-    EXPECT_TRUE (budget.take (at (100), 1, urgent)) << "two are left beyond the one kept back";
-    EXPECT_FALSE (budget.take (at (200), 1, other)) << "two are left, two are kept back";
+    EXPECT_TRUE (budget.take (at (0), 1, noClientRetry));
+    EXPECT_TRUE (budget.take (at (100), 1, urgent)) << "three are left, one is reserved";
+    EXPECT_FALSE (budget.take (at (200), 1, other)) << "two are left, two are reserved";
     EXPECT_FALSE (budget.take (at (200), 1, hedgeClaim));
-    EXPECT_TRUE (budget.take (at (300), 1, last));
-    EXPECT_TRUE (budget.take (at (400), 1, last));
-    EXPECT_FALSE (budget.take (at (500), 1, last));
+    EXPECT_TRUE (budget.take (at (300), 1, noClientRetry));
+    EXPECT_TRUE (budget.take (at (400), 1, noClientRetry));
+    EXPECT_FALSE (budget.take (at (500), 1, noClientRetry));
 }
 
-TEST (MeshRetryBudget, NothingIsKeptBackForWhatNobodyAsksFor)
+TEST (MeshRetryBudget, NothingIsReservedWithoutClaims)
 {
     RetryBudget budget (slackOnly (3));
     EXPECT_TRUE (budget.take (at (0), 1, hedgeClaim));
@@ -119,7 +119,7 @@
     EXPECT_TRUE (budget.take (at (0), 1, { true, 0 }));
 }
 
-/** A fleet that shares one budget, its traffic and what it spends by tenths of a second. */
+/** A fleet that shares one budget, with its requests and retries counted per tenth of a second. */
 class BudgetFleet
 {
 public:
@@ -128,41 +128,41 @@
     {
         settings.slack = static_cast<double> (count) * slackPerNode;
 
-        // One in ten takes five times as much as the others.
+        // One node in ten gets five times the requests of the others.
         for (std::size_t n = 0; n < count; ++n)
             nodes.push_back ({ start (0), callsPerNode * (n % 10 == 0 ? 5 : 1) });
     }
 
-    /** Every node asks for far more retries than there are; some are killed and start again. */
-    void playWith (double restartsPerTenth, int tenths)
+    /** Every node claims far more retries than the budget has, and some nodes restart. */
+    void simulate (double restartsPerTick, int ticks)
     {
-        for (int tenth = 0; tenth < tenths; ++tenth)
+        for (int tick = 0; tick < ticks; ++tick)
         {
             requests.push_back (0);
             spent.push_back (0);
             std::poisson_distribution<int> restarts (
-                restartsPerTenth * static_cast<double> (nodes.size()) + 1e-9);
+                restartsPerTick * static_cast<double> (nodes.size()) + 1e-9);
 
             for (int left = restarts (random); left > 0; --left)
-                nodes[random() % nodes.size()].budget = start (tenth * 100);
+                nodes[random() % nodes.size()].budget = start (tick * 100);
 
             for (auto& node : nodes)
-                playNode (node, tenth * 100);
+                simulateNode (node, tick * 100);
         }
     }
 
-    /** The most spent in a window, beyond what is allowed in it. */
-    double mostOverspent() const
+    /** The largest excess of the retries in a window over those allowed in it. */
+    double maxOverspent() const
     {
-        double most = -1e9;
+        double maxExcess = -1e9;
 
         for (std::size_t from = 0; from + window <= spent.size(); ++from)
-            most = std::max (most, sum (spent, from) - allowedIn (from));
+            maxExcess = std::max (maxExcess, sum (spent, from) - allowedIn (from));
 
-        return most;
+        return maxExcess;
     }
 
-    /** Of what the second window allows, since the slack isn't spent in the first. */
+    /** The share spent in the second window. In the first not all of the slack is available. */
     double shareSpent() const { return sum (spent, window) / allowedIn (window); }
 
 private:
@@ -181,7 +181,7 @@
         return RetryBudget (settings, at (when), threshold);
     }
 
-    void playNode (Node& node, std::int64_t when)
+    void simulateNode (Node& node, std::int64_t when)
     {
         std::poisson_distribution<int> arrivals (node.callsPerSecond / 10);
 
@@ -190,7 +190,7 @@
             node.budget.countRequest (at (when));
             ++requests.back();
 
-            while (node.budget.take (at (when), nodes.size(), onlyChance))
+            while (node.budget.take (at (when), nodes.size(), highestClaim))
                 ++spent.back();
         }
     }
@@ -218,37 +218,37 @@
     for (const std::size_t nodes : { 12, 100, 1000, 2000 })
     {
         BudgetFleet fleet (nodes, 2, 1);
-        fleet.playWith (0, 300);
-        EXPECT_LE (fleet.mostOverspent(), 0) << nodes << " nodes";
+        fleet.simulate (0, 300);
+        EXPECT_LE (fleet.maxOverspent(), 0) << nodes << " nodes";
         EXPECT_GE (fleet.shareSpent(), nodes < 100 ? 0.5 : 0.7) << nodes << " nodes";
     }
 }
 
-TEST (MeshRetryBudget, NodesThatStartAgainSpendNoMore)
+TEST (MeshRetryBudget, RestartedNodesStayWithinTheBudget)
 {
     for (const std::size_t nodes : { 12, 100, 1000, 2000 })
     {
         BudgetFleet fleet (nodes, 2, 2);
-        fleet.playWith (0.02, 300);
-        EXPECT_LE (fleet.mostOverspent(), 0) << nodes << " nodes";
+        fleet.simulate (0.02, 300);
+        EXPECT_LE (fleet.maxOverspent(), 0) << nodes << " nodes";
     }
 }
 
-TEST (MeshRetryBudget, PartsFarUnderOneRetryAddUpToo)
+TEST (MeshRetryBudget, PartsFarBelowOneRetryAddUpWithinTheBudget)
 {
     BudgetFleet fleet (2000, 0.05, 3);
-    fleet.playWith (0, 300);
-    EXPECT_LE (fleet.mostOverspent(), 0);
+    fleet.simulate (0, 300);
+    EXPECT_LE (fleet.maxOverspent(), 0);
 }
 
-/** Instances of a service that turn away more than half of what comes, though they are well; a
-    refused client comes back once. Many nodes share a budget that is too small for all.
+/** A service whose healthy instances refuse more than half of the requests. A refused client
+    retries once. Many nodes share a budget that is too small for all retries.
 */
 class SheddingService
 {
 public:
-    static constexpr double shedShare = 0.55;
-    static constexpr int mostArrivals = 3;
+    static constexpr double refusalShare = 0.55;
+    static constexpr int maxArrivals = 3;
 
     struct Outcome
     {
@@ -266,15 +266,15 @@
                                 std::uniform_real_distribution<double> (0, 1) (random));
     }
 
-    /** Each node gets two requests a second, one in four of them urgent. */
-    void play (int milliseconds)
+    /** Each node gets two requests a second, a quarter of which are urgent. */
+    void simulate (int milliseconds)
     {
         std::bernoulli_distribution isUrgent (0.25);
 
         for (int time = 0; time < milliseconds; time += step)
             for (std::size_t n = 0; n < nodes.size(); ++n)
             {
-                for (const auto priority : std::exchange (returning[{ time, n }], {}))
+                for (const auto priority : std::exchange (clientRetries[{ time, n }], {}))
                     attempt (n, time, { true, priority });
 
                 if (std::bernoulli_distribution (2.0 * step / 1000) (random))
@@ -286,8 +286,8 @@
             }
     }
 
-    /** From now on no claim is better than another. */
-    void forgetClaims() { alike = true; }
+    /** From now on all claims rank equally. */
+    void treatClaimsEqually() { equalClaims = true; }
 
     const Outcome& of (int priority) { return outcomes[priority]; }
 
@@ -303,67 +303,68 @@
     }
 
 private:
-    static constexpr int step = 20, returnAfter = 120; // Milliseconds.
+    static constexpr int step = 20, clientRetryDelay = 120; // Milliseconds.
 
     void attempt (std::size_t node, int time, const RetryClaim& claim)
     {
         nodes[node].countRequest (at (time));
-        std::bernoulli_distribution isShed (shedShare);
+        std::bernoulli_distribution isRefused (refusalShare);
 
-        for (int arrivals = 1; isShed (random); ++arrivals)
+        for (int arrivals = 1; isRefused (random); ++arrivals)
         {
-            if (arrivals < mostArrivals && takes (node, time, claim))
+            if (arrivals < maxArrivals && grantsRetry (node, time, claim))
             {
                 ++retries;
                 continue;
             }
 
-            if (claim.lastChance)
+            if (claim.noClientRetryExpected)
                 ++outcomes[claim.priority].refused;
             else
-                returning[{ time + returnAfter, node }].push_back (claim.priority);
+                clientRetries[{ time + clientRetryDelay, node }].push_back (claim.priority);
 
             return;
         }
     }
 
-    bool takes (std::size_t node, int time, const RetryClaim& claim)
+    bool grantsRetry (std::size_t node, int time, const RetryClaim& claim)
     {
-        return nodes[node].take (at (time), nodes.size(), alike ? RetryClaim{} : claim);
+        return nodes[node].take (at (time), nodes.size(), equalClaims ? RetryClaim{} : claim);
     }
 
     std::mt19937 random{ 4 };
-    bool alike = false;
+    bool equalClaims = false;
     RetryBudgetSettings settings;
     std::vector<RetryBudget> nodes;
-    std::map<std::pair<int, std::size_t>, std::vector<int>> returning; /**< Their priorities. */
+    std::map<std::pair<int, std::size_t>, std::vector<int>>
+        clientRetries; /**< Priorities by time and node. */
     std::map<int, Outcome> outcomes;
     int retries = 0;
 };
 
-TEST (MeshRetryBudget, UrgentRequestsAreServedNoWorseWhenInstancesTurnMostAway)
+TEST (MeshRetryBudget, UrgentRequestsAreServedNoWorseWhenMostAreRefused)
 {
     SheddingService service (500);
-    service.play (8500);
+    service.simulate (8500);
     EXPECT_GE (service.of (1).servedShare(), service.of (2).servedShare());
 }
 
-TEST (MeshRetryBudget, FewerAreRefusedThanIfAllClaimsWereAlike)
+TEST (MeshRetryBudget, FewerAreRefusedThanWithEqualClaims)
 {
-    SheddingService ranked (1000), alike (1000);
-    alike.forgetClaims();
-    ranked.play (8500);
-    alike.play (8500);
-    EXPECT_LT (ranked.refusedShare(), alike.refusedShare());
+    SheddingService ranked (1000), equalClaims (1000);
+    equalClaims.treatClaimsEqually();
+    ranked.simulate (8500);
+    equalClaims.simulate (8500);
+    EXPECT_LT (ranked.refusedShare(), equalClaims.refusedShare());
 }
 
-TEST (MeshRetryBudget, WhatIsSavedUpForReturnsIsSpentOnThem)
+TEST (MeshRetryBudget, RetriesReservedForReturningClientsAreSpentOnThem)
 {
     SheddingService service (1000);
-    service.play (8500);
-    // At a last chance each retry serves 0.45 of a request, at another 0.45 x 0.55: more than the
-    // mean of both is asked for.
-    const auto without = SheddingService::shedShare * SheddingService::shedShare;
+    service.simulate (8500);
+    // Where the client won't retry, a retry serves 0.45 of a request; elsewhere it serves
+    // 0.45 x 0.55. The gain has to be above the mean of both.
+    const auto without = SheddingService::refusalShare * SheddingService::refusalShare;
     const auto gain = (without - service.refusedShare()) / service.retriesPerRequest();
     EXPECT_GT (gain, 0.45 * (1 + 0.55) / 2);
 }
