--- a/src/mesh/admission_queue.cc
+++ b/src/mesh/admission_queue.cc
@@ -11,213 +11,234 @@
 namespace
 {
 
-constexpr double learningRate = 0.1;
-constexpr double lateLearningRate = 0.3;
-constexpr double shortRunShare = 0.7;       // Of the usual time: a run may well be that short.
-constexpr double unknownSpread = 0.3;       // Of the usual time, before the first run has ended.
-constexpr double longRunDeviations = 0.6;   // Above the usual time: most runs are shorter.
-constexpr double firstDeviationShare = 0.5; // Of the first run, before there is a second.
-// In which half of what sets a learned time apart from the sender's is forgotten while no run
-// confirms it. An instance whose first run was slow is chosen by nobody while others are free, and
-// without forgetting had nothing to learn better from.
-constexpr double forgettingHalfLifeMs = 2000;
-constexpr std::size_t mostWaiting = 256;
-constexpr double mostTaken = 0.9; // Of the starts, by more urgent requests that are still to come.
+/** Weights of a new sample in the moving averages. */
+constexpr double runTimeLearningRate = 0.1;
+constexpr double lateIntervalLearningRate = 0.3;
+
+/** A run may well be as short as this share of the mean run time. */
+constexpr double optimisticRunShare = 0.7;
+
+/** The margin added to the sender's estimate, as a share of it, before the first run has ended. */
+constexpr double defaultSpreadShare = 0.3;
+
+/** Most runs take less than the mean plus this many mean absolute deviations. */
+constexpr double conservativeRunDeviations = 0.6;
+
+/** The initial mean deviation, as a share of the first run time. */
+constexpr double firstDeviationShare = 0.5;
+
+/** While no further run is measured, the difference between the learned mean and the sender's
+    estimate halves in this time. An instance whose first run was slow is not chosen while others
+    are free. Without the decay its estimate would never be corrected.
+*/
+constexpr double learnedMeanHalfLifeMs = 2000;
+
+constexpr std::size_t maxWaiting = 256;
+
+/** Upper bound on the share of starts that future, more urgent requests are assumed to take. */
+constexpr double maxShareTaken = 0.9;
 
 } // namespace
 
-double AdmissionQueue::usualRunOf (const AdmissionRequest& request) const
+double AdmissionQueue::learnedRunMsOf (const AdmissionRequest& request) const
 {
     const auto known = runsByRoute.find (request.route);
     return known == runsByRoute.end() ? request.usualRunMs : known->second.meanMs;
 }
 
-double AdmissionQueue::fadedMeanMs (Timestamp now, const RunTimes& known, double usualRunMs)
+double AdmissionQueue::decayedMeanMs (Timestamp now, const RunTimes& known, double usualRunMs)
 {
     if (usualRunMs <= 0)
         return known.meanMs;
 
     const auto ageMs = std::max (0.0, toMilliseconds (now - known.learnedAt));
-    return usualRunMs + (known.meanMs - usualRunMs) * std::exp2 (-ageMs / forgettingHalfLifeMs);
+    return usualRunMs + (known.meanMs - usualRunMs) * std::exp2 (-ageMs / learnedMeanHalfLifeMs);
 }
 
-double AdmissionQueue::presentRunOf (Timestamp now, const AdmissionRequest& request) const
+double AdmissionQueue::decayedRunMsOf (Timestamp now, const AdmissionRequest& request) const
 {
     const auto known = runsByRoute.find (request.route);
     return known == runsByRoute.end() ? request.usualRunMs
-                                      : fadedMeanMs (now, known->second, request.usualRunMs);
+                                      : decayedMeanMs (now, known->second, request.usualRunMs);
 }
 
-double AdmissionQueue::shortRunMs (const AdmissionRequest& request) const
+double AdmissionQueue::optimisticRunMs (const AdmissionRequest& request) const
 {
-    return shortRunShare * usualRunOf (request);
+    return optimisticRunShare * learnedRunMsOf (request);
 }
 
-double AdmissionQueue::longRunMs (const AdmissionRequest& request) const
+double AdmissionQueue::conservativeRunMs (const AdmissionRequest& request) const
 {
     const auto known = runsByRoute.find (request.route);
 
     if (known == runsByRoute.end())
-        return (1 + unknownSpread) * request.usualRunMs;
+        return (1 + defaultSpreadShare) * request.usualRunMs;
 
-    return known->second.meanMs + longRunDeviations * known->second.deviationMs;
+    return known->second.meanMs + conservativeRunDeviations * known->second.deviationMs;
 }
 
-bool AdmissionQueue::mayRunAtOnce (Timestamp now) const
+bool AdmissionQueue::canStartNow (Timestamp now) const
 {
-    return hasFreeSlot() && order.empty() && starts.earliest (now, 0) <= now;
+    return hasFreeSlot() && waitingByRank.empty() && starts.earliest (now, 0) <= now;
 }
 
-double AdmissionQueue::waitBehindMs (Timestamp now, std::size_t before, int priority) const
+double AdmissionQueue::expectedWaitBehindMs (Timestamp now, std::size_t before, int priority) const
 {
     const auto slots = static_cast<double> (std::max (limit, 1));
-    const auto bound = toMilliseconds (starts.earliest (now, before) - now);
+    const auto startDelayMs = toMilliseconds (starts.earliest (now, before) - now);
 
     if (before == 0 && hasFreeSlot())
-        return bound;
-
-    const auto places = static_cast<double> (before) + 1;
-    const auto wait = std::max (bound, places / slots * meanRunMs);
-    // Without them the less urgent wait for what they don't get, and are refused late (0.118 to
-    // 0.114 and 0.115 to 0.106 of the worth in prices, on two days of overload).
-    const auto taken = std::min (mostTaken, arrivals.perMs (now, priority) * wait / places);
-    return wait / (1 - taken);
+        return startDelayMs;
+
+    const auto requestsToStart = static_cast<double> (before) + 1;
+    const auto waitMs = std::max (startDelayMs, requestsToStart / slots * meanRunMs);
+    // Future arrivals of more urgent requests count as well. Otherwise less urgent requests wait
+    // for slots that they don't get, and are refused late.
+    const auto shareTaken = std::min (
+        maxShareTaken, arrivals.higherPriorityRatePerMs (now, priority) * waitMs / requestsToStart);
+    return waitMs / (1 - shareTaken);
 }
 
 std::size_t AdmissionQueue::countBefore (const Rank& rank) const
 {
-    return static_cast<std::size_t> (std::distance (order.begin(), order.lower_bound (rank)));
+    return static_cast<std::size_t> (
+        std::distance (waitingByRank.begin(), waitingByRank.lower_bound (rank)));
 }
 
 double AdmissionQueue::expectedWaitMs (Timestamp now, int priority) const
 {
-    return waitBehindMs (now, countBefore ({ priority, Timeliness::late, Timestamp::max(), 0 }),
-                         priority);
+    return expectedWaitBehindMs (
+        now, countBefore ({ priority, Timeliness::late, Timestamp::max(), 0 }), priority);
 }
 
-bool AdmissionQueue::lateMayWait (Timestamp now, Timestamp latestStart) const
+bool AdmissionQueue::lateRequestMayWait (Timestamp now, Timestamp latestStart) const
 {
-    const auto since = toMilliseconds (now - lateSlotAt);
+    const auto elapsedMs = toMilliseconds (now - lateIntervalBegin);
 
-    // One may now and then, so that it is learned when slots are to be had again.
-    if (lateWaiting == 0 && since >= lateGapMs)
+    // Now and then one late request may wait, so that the queue notices when slots become available
+    // again.
+    if (lateWaiting == 0 && elapsedMs >= lateStartIntervalMs)
         return true;
 
-    const auto gap = lateWaiting == 0 ? lateGapMs : std::max (lateGapMs, since);
-    return now + fromMilliseconds (gap * static_cast<double> (lateWaiting + 1)) <= latestStart;
+    const auto intervalMs =
+        lateWaiting == 0 ? lateStartIntervalMs : std::max (lateStartIntervalMs, elapsedMs);
+    return now + fromMilliseconds (intervalMs * static_cast<double> (lateWaiting + 1)) <=
+           latestStart;
 }
 
-bool AdmissionQueue::place (Timestamp now, const AdmissionRequest& request, Held& held) const
+bool AdmissionQueue::assignRank (Timestamp now, const AdmissionRequest& request,
+                                 WaitingRequest& entry) const
 {
-    held.request = request;
+    entry.request = request;
     const auto fits = [&] (Timeliness timeliness, Timestamp due, double runMs)
     {
-        held.rank = { request.priority, timeliness, due, request.id };
-        held.latestStart = due - fromMilliseconds (runMs);
-        return now + fromMilliseconds (
-                         waitBehindMs (now, countBefore (held.rank), held.rank.priority)) <=
-               held.latestStart;
+        entry.rank = { request.priority, timeliness, due, request.id };
+        entry.latestStart = due - fromMilliseconds (runMs);
+        return now + fromMilliseconds (expectedWaitBehindMs (now, countBefore (entry.rank),
+                                                             entry.rank.priority)) <=
+               entry.latestStart;
     };
 
-    // No class for those that meet their target only from a later attempt on: they held slots and
-    // places that bring more to others (0.634 to 0.646 of the worth, mean of five days of trouble,
-    // and half of what was held in vain on two days of overload).
-    if (fits (Timeliness::inTime, request.target, longRunMs (request)))
+    // The target always counts from the first attempt. Requests that would meet it only if counted
+    // from a later attempt have no class of their own, because they would take slots and places in
+    // the queue that are of more use to others.
+    if (fits (Timeliness::inTime, request.target, conservativeRunMs (request)))
         return true;
 
-    return fits (Timeliness::late, request.deadline, shortRunMs (request)) &&
-           lateMayWait (now, held.latestStart);
+    return fits (Timeliness::late, request.deadline, optimisticRunMs (request)) &&
+           lateRequestMayWait (now, entry.latestStart);
 }
 
 Timeliness AdmissionQueue::timelinessAt (Timestamp begin, const AdmissionRequest& request) const
 {
-    const auto end = begin + fromMilliseconds (longRunMs (request));
+    const auto end = begin + fromMilliseconds (conservativeRunMs (request));
     return end <= request.target ? Timeliness::inTime : Timeliness::late;
 }
 
 AdmissionForecast AdmissionQueue::forecast (Timestamp now, const AdmissionRequest& request) const
 {
-    const auto run = presentRunOf (now, request);
+    const auto run = decayedRunMsOf (now, request);
 
-    if (mayRunAtOnce (now))
+    if (canStartNow (now))
         return { AdmissionDecision::run, run };
 
-    Held held;
+    WaitingRequest entry;
 
-    if (order.size() >= mostWaiting || ! place (now, request, held))
+    if (waitingByRank.size() >= maxWaiting || ! assignRank (now, request, entry))
         return { AdmissionDecision::refuse, 0 };
 
     return { AdmissionDecision::wait,
-             waitBehindMs (now, countBefore (held.rank), held.rank.priority) + run };
+             expectedWaitBehindMs (now, countBefore (entry.rank), entry.rank.priority) + run };
 }
 
 AdmissionDecision AdmissionQueue::offer (Timestamp now, const AdmissionRequest& request)
 {
     arrivals.observe (now, request.priority);
 
-    if (mayRunAtOnce (now))
+    if (canStartNow (now))
     {
         runningById.emplace (request.id, Running{ request.route, request.usualRunMs, now });
         starts.started (now);
-        ++begins[static_cast<std::size_t> (timelinessAt (now, request))];
+        ++startCounts[static_cast<std::size_t> (timelinessAt (now, request))];
         return AdmissionDecision::run;
     }
 
-    Held held;
+    WaitingRequest entry;
 
-    if (order.size() >= mostWaiting || ! place (now, request, held))
+    if (waitingByRank.size() >= maxWaiting || ! assignRank (now, request, entry))
         return AdmissionDecision::refuse;
 
-    hold (now, held);
+    enqueue (now, entry);
     return AdmissionDecision::wait;
 }
 
-void AdmissionQueue::hold (Timestamp now, const Held& held)
+void AdmissionQueue::enqueue (Timestamp now, const WaitingRequest& entry)
 {
-    const auto id = held.request.id;
-    waitingById.insert_or_assign (id, held);
-    order.insert (held.rank);
-    byLatestStart.emplace (held.latestStart, id);
+    const auto id = entry.request.id;
+    waitingById.insert_or_assign (id, entry);
+    waitingByRank.insert (entry.rank);
+    byLatestStart.emplace (entry.latestStart, id);
 
-    if (held.rank.timeliness == Timeliness::late && lateWaiting++ == 0)
-        lateSlotAt = now;
+    if (entry.rank.timeliness == Timeliness::late && lateWaiting++ == 0)
+        lateIntervalBegin = now;
 }
 
-void AdmissionQueue::forget (const Held& held)
+void AdmissionQueue::removeWaiting (const WaitingRequest& entry)
 {
-    const auto id = held.request.id;
+    const auto id = entry.request.id;
 
-    if (held.rank.timeliness == Timeliness::late)
+    if (entry.rank.timeliness == Timeliness::late)
         --lateWaiting;
 
-    order.erase (held.rank);
-    byLatestStart.erase ({ held.latestStart, id });
+    waitingByRank.erase (entry.rank);
+    byLatestStart.erase ({ entry.latestStart, id });
     waitingById.erase (id);
 }
 
-void AdmissionQueue::review (Timestamp now)
+void AdmissionQueue::reclassifyOverdue (Timestamp now)
 {
     while (! byLatestStart.empty() && byLatestStart.begin()->first < now)
     {
-        const auto held = waitingById.at (byLatestStart.begin()->second);
-        forget (held);
-        Held placed;
+        const auto entry = waitingById.at (byLatestStart.begin()->second);
+        removeWaiting (entry);
+        WaitingRequest reclassified;
 
-        // Later than now by its latest start, so it can't take the rank again that it had.
-        if (place (now, held.request, placed))
-            hold (now, placed);
+        // Its latest start has passed, so it can't get its previous rank again.
+        if (assignRank (now, entry.request, reclassified))
+            enqueue (now, reclassified);
         else
-            expired.push_back (held.request.id);
+            expired.push_back (entry.request.id);
 
-        // It would have taken a slot that was to be had: there was none since the last.
-        if (held.rank.timeliness == Timeliness::late)
-            lateGapMs = std::max (lateGapMs, toMilliseconds (now - lateSlotAt));
+        // It would have taken any available slot, so there has been none since the last late start.
+        if (entry.rank.timeliness == Timeliness::late)
+            lateStartIntervalMs =
+                std::max (lateStartIntervalMs, toMilliseconds (now - lateIntervalBegin));
     }
 }
 
 std::vector<std::uint64_t> AdmissionQueue::expire (Timestamp now)
 {
-    review (now);
+    reclassifyOverdue (now);
     return std::exchange (expired, {});
 }
 
@@ -225,28 +246,29 @@
 {
     auto all = std::exchange (expired, {});
 
-    for (const auto& rank : order)
+    for (const auto& rank : waitingByRank)
         all.push_back (rank.id);
 
-    order.clear();
+    waitingByRank.clear();
     byLatestStart.clear();
     waitingById.clear();
     lateWaiting = 0;
     return all;
 }
 
-void AdmissionQueue::learnLateGap (Timestamp now)
+void AdmissionQueue::updateLateStartInterval (Timestamp now)
 {
-    lateGapMs += lateLearningRate * (toMilliseconds (now - lateSlotAt) - lateGapMs);
-    lateSlotAt = now;
+    lateStartIntervalMs +=
+        lateIntervalLearningRate * (toMilliseconds (now - lateIntervalBegin) - lateStartIntervalMs);
+    lateIntervalBegin = now;
 }
 
-void AdmissionQueue::countBegin (Timestamp now, const Rank& rank)
+void AdmissionQueue::countStart (Timestamp now, const Rank& rank)
 {
-    ++begins[static_cast<std::size_t> (rank.timeliness)];
+    ++startCounts[static_cast<std::size_t> (rank.timeliness)];
 
     if (rank.timeliness == Timeliness::late)
-        learnLateGap (now);
+        updateLateStartInterval (now);
 }
 
 std::uint64_t AdmissionQueue::next (Timestamp now)
@@ -254,17 +276,17 @@
     if (! hasFreeSlot() || starts.earliest (now, 0) > now)
         return 0;
 
-    review (now);
+    reclassifyOverdue (now);
 
-    if (order.empty())
+    if (waitingByRank.empty())
         return 0;
 
-    const auto held = waitingById.at (order.begin()->id);
-    const auto id = held.request.id;
-    runningById.emplace (id, Running{ held.request.route, held.request.usualRunMs, now });
+    const auto entry = waitingById.at (waitingByRank.begin()->id);
+    const auto id = entry.request.id;
+    runningById.emplace (id, Running{ entry.request.route, entry.request.usualRunMs, now });
     starts.started (now);
-    countBegin (now, held.rank);
-    forget (held);
+    countStart (now, entry.rank);
+    removeWaiting (entry);
     return id;
 }
 
@@ -272,8 +294,8 @@
 {
     if (const auto found = waitingById.find (id); found != waitingById.end())
     {
-        const auto held = found->second;
-        forget (held);
+        const auto entry = found->second;
+        removeWaiting (entry);
         return true;
     }
 
@@ -292,14 +314,14 @@
     if (runMs > 0)
     {
         const auto& run = found->second;
-        const RunTimes first{ runMs, firstDeviationShare * runMs, run.begunAt };
-        auto& usual = runsByRoute.try_emplace (run.route, first).first->second;
-        usual.meanMs = fadedMeanMs (run.begunAt, usual, run.usualRunMs);
-        usual.learnedAt = std::max (usual.learnedAt, run.begunAt);
-        const auto error = runMs - usual.meanMs;
-        usual.meanMs += learningRate * error;
-        usual.deviationMs += learningRate * (std::abs (error) - usual.deviationMs);
-        meanRunMs = meanRunMs <= 0 ? runMs : meanRunMs + learningRate * (runMs - meanRunMs);
+        const RunTimes first{ runMs, firstDeviationShare * runMs, run.startedAt };
+        auto& learned = runsByRoute.try_emplace (run.route, first).first->second;
+        learned.meanMs = decayedMeanMs (run.startedAt, learned, run.usualRunMs);
+        learned.learnedAt = std::max (learned.learnedAt, run.startedAt);
+        const auto error = runMs - learned.meanMs;
+        learned.meanMs += runTimeLearningRate * error;
+        learned.deviationMs += runTimeLearningRate * (std::abs (error) - learned.deviationMs);
+        meanRunMs = meanRunMs <= 0 ? runMs : meanRunMs + runTimeLearningRate * (runMs - meanRunMs);
     }
 
     runningById.erase (found);
@@ -307,7 +329,7 @@
 
 Timestamp AdmissionQueue::nextBoundedStart (Timestamp now) const
 {
-    return hasFreeSlot() && ! order.empty() ? starts.earliest (now, 0) : Timestamp::max();
+    return hasFreeSlot() && ! waitingByRank.empty() ? starts.earliest (now, 0) : Timestamp::max();
 }
 
 Timestamp AdmissionQueue::nextExpiry() const
--- a/src/mesh/urgent_arrivals.cc
+++ b/src/mesh/urgent_arrivals.cc
@@ -9,13 +9,14 @@
 namespace
 {
 
-constexpr double memoryMs = 500; // Several runs; a burst lasts longer.
+/** The time constant of the decay: as long as several runs, and shorter than a burst. */
+constexpr double decayTimeMs = 500;
 
 } // namespace
 
-double UrgentArrivals::Fading::at (Timestamp now) const
+double UrgentArrivals::DecayingCount::at (Timestamp now) const
 {
-    return count * std::exp (-toMilliseconds (now - countedAt) / memoryMs);
+    return count * std::exp (-toMilliseconds (now - countedAt) / decayTimeMs);
 }
 
 void UrgentArrivals::observe (Timestamp now, int priority)
@@ -25,14 +26,14 @@
     arrivals.countedAt = now;
 }
 
-double UrgentArrivals::perMs (Timestamp now, int priority) const
+double UrgentArrivals::higherPriorityRatePerMs (Timestamp now, int priority) const
 {
     double sum = 0;
 
     for (const auto& [other, arrivals] : byPriority)
         sum += other < priority ? arrivals.at (now) : 0;
 
-    return sum / memoryMs;
+    return sum / decayTimeMs;
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/urgent_arrivals.h
+++ b/src/mesh/urgent_arrivals.h
@@ -1,5 +1,5 @@
-/** How often requests of each priority came lately: what is less urgent waits behind those that are
-    still to come, too. Deciding code without I/O.
+/** Tracks how often requests of each priority arrived recently. A waiting request is also delayed
+    by more urgent ones that have yet to arrive. Makes decisions only and does no I/O.
 */
 #pragma once
 
@@ -14,15 +14,15 @@
 class UrgentArrivals
 {
 public:
-    /** A request came. */
+    /** Records that a request arrived. */
     void observe (Timestamp now, int priority);
 
-    /** Of requests that are more urgent than those of `priority`, in a millisecond. */
-    double perMs (Timestamp now, int priority) const;
+    /** The arrivals per millisecond of requests that are more urgent than those of `priority`. */
+    double higherPriorityRatePerMs (Timestamp now, int priority) const;
 
 private:
-    /** Of one priority. Older arrivals count less. */
-    struct Fading
+    /** Exponentially decaying count of the arrivals of one priority. */
+    struct DecayingCount
     {
         double count = 0;
         Timestamp countedAt{};
@@ -30,7 +30,7 @@
         double at (Timestamp now) const;
     };
 
-    std::map<int, Fading> byPriority;
+    std::map<int, DecayingCount> byPriority;
 };
 
 } // namespace copperlead::mesh
--- a/tests/mesh/admission_queue_test.cc
+++ b/tests/mesh/admission_queue_test.cc
@@ -11,15 +11,15 @@
 
 using Ids = std::vector<std::uint64_t>;
 
-/** A request whose run usually takes 50 ms. */
+/** A request with an estimated run time of 50 ms. */
 AdmissionRequest request (std::uint64_t id, int priority, std::int64_t target,
                           std::int64_t deadline)
 {
     return { id, "lookup", priority, at (target), at (deadline), 50 };
 }
 
-/** Offers `count` requests that nothing bounds, with ids from 1. They are the least urgent, so that
-    no other has to reckon with more of them.
+/** Starts `count` requests with distant targets and ids from 1. They are the least urgent, so that
+    their arrival rate does not affect the forecast for others.
 */
 void fill (AdmissionQueue& queue, std::uint64_t count)
 {
@@ -31,22 +31,22 @@
 }
 
 /** Ends the running request `id` after 50 ms. */
-void end (AdmissionQueue& queue, std::uint64_t id) { queue.finished (id, 50); }
+void finishRun (AdmissionQueue& queue, std::uint64_t id) { queue.finished (id, 50); }
 
-TEST (AdmissionQueue, RunsUpToItsLimitAndHoldsTheRest)
+TEST (AdmissionQueue, RunsUpToItsLimitAndQueuesTheRest)
 {
     AdmissionQueue queue;
     queue.setLimit (2);
     fill (queue, 2);
     EXPECT_EQ (queue.offer (at (0), request (3, 0, 200, 500)), AdmissionDecision::wait);
     EXPECT_EQ (queue.next (at (0)), 0U);
-    end (queue, 1);
+    finishRun (queue, 1);
     EXPECT_EQ (queue.next (at (50)), 3U);
     EXPECT_EQ (queue.running(), 2U);
     EXPECT_EQ (queue.waiting(), 0U);
 }
 
-TEST (AdmissionQueue, AForecastSaysWhatAnOfferWouldAndTakesNothing)
+TEST (AdmissionQueue, AForecastMatchesTheOfferAndAcceptsNothing)
 {
     AdmissionQueue queue;
     queue.setLimit (2);
@@ -57,7 +57,7 @@
     EXPECT_EQ (queue.running(), 1U);
 
     queue.offer (at (0), request (2, 0, 10'000, 20'000));
-    end (queue, 1);
+    finishRun (queue, 1);
     queue.offer (at (0), request (3, 0, 10'000, 20'000));
     forecast = queue.forecast (at (0), request (9, 0, 200, 500));
     EXPECT_EQ (forecast.decision, AdmissionDecision::wait);
@@ -70,10 +70,10 @@
     EXPECT_EQ (queue.offer (at (0), request (10, 0, 20, 20)), AdmissionDecision::refuse);
 }
 
-/** An instance that lost 20 s of requests to one slow run: nobody chose it while others were free,
-    so that nothing corrected what the run had taught.
+/** Guards against an instance getting no requests for 20 s after one slow run: it was not chosen
+    while others were free, so no further run corrected its estimate.
 */
-TEST (AdmissionQueue, ASlowRunIsForgottenWhileNoOtherConfirmsIt)
+TEST (AdmissionQueue, TheEstimateOfASlowRunDecaysWithoutFurtherRuns)
 {
     AdmissionQueue queue;
     queue.setLimit (2);
@@ -85,10 +85,10 @@
     queue.offer (at (15'000), request (2, 0, 17'000, 20'000));
     queue.finished (2, 50);
     EXPECT_LT (queue.forecast (at (15'050), request (9, 0, 17'000, 20'000)).expectedMs, 60)
-        << "what was forgotten doesn't come back with the next run";
+        << "the next run does not restore the decayed part";
 }
 
-TEST (AdmissionQueue, AnInstanceThatStaysSlowStaysKnownAsSlow)
+TEST (AdmissionQueue, TheEstimateOfAConstantlySlowInstanceStaysHigh)
 {
     AdmissionQueue queue;
     queue.setLimit (2);
@@ -103,7 +103,7 @@
     EXPECT_GT (queue.forecast (at (10'200), request (99, 0, 12'000, 15'000)).expectedMs, 250);
 }
 
-TEST (AdmissionQueue, UrgentFirstThenTheEarliestTarget)
+TEST (AdmissionQueue, TheMostUrgentGoesFirstThenTheEarliestTarget)
 {
     AdmissionQueue queue;
     queue.setLimit (1);
@@ -111,18 +111,18 @@
     queue.offer (at (0), request (2, 2, 300, 900));
     queue.offer (at (0), request (3, 2, 200, 900));
     queue.offer (at (0), request (4, 1, 900, 900));
-    Ids taken;
+    Ids startOrder;
 
     for (std::uint64_t running = 1; running != 0;)
     {
-        end (queue, running);
+        finishRun (queue, running);
         running = queue.next (at (10));
 
         if (running != 0)
-            taken.push_back (running);
+            startOrder.push_back (running);
     }
 
-    EXPECT_EQ (taken, (Ids{ 4, 3, 2 }));
+    EXPECT_EQ (startOrder, (Ids{ 4, 3, 2 }));
 }
 
 TEST (AdmissionQueue, WhatMissedItsTargetWaitsBehindWhatCanMeetIt)
@@ -132,69 +132,69 @@
     fill (queue, 1);
     queue.offer (at (0), request (2, 1, 100, 2000));
     queue.offer (at (0), request (3, 1, 600, 2000));
-    end (queue, 1);
-    // At 200 ms the first one's target has passed, although it came first and is due first.
+    finishRun (queue, 1);
+    // At 200 ms the target of request 2 has passed, although it arrived first and is due first.
     EXPECT_EQ (queue.next (at (200)), 3U);
-    end (queue, 3);
+    finishRun (queue, 3);
     EXPECT_EQ (queue.next (at (250)), 2U);
 }
 
-TEST (AdmissionQueue, ALateUrgentRequestStillGoesBeforeALesserOne)
+TEST (AdmissionQueue, ALateUrgentRequestStillGoesBeforeALessUrgentOne)
 {
     AdmissionQueue queue;
     queue.setLimit (1);
     fill (queue, 1);
     queue.offer (at (0), request (2, 1, 100, 2000));
     queue.offer (at (0), request (3, 2, 600, 2000));
-    end (queue, 1);
+    finishRun (queue, 1);
     EXPECT_EQ (queue.next (at (200)), 2U);
 }
 
-TEST (AdmissionQueue, RefusesAtOnceWhatCannotFinishInTime)
+TEST (AdmissionQueue, RefusesAtOnceARequestThatCannotFinishInTime)
 {
     AdmissionQueue queue;
     queue.setLimit (1);
     fill (queue, 1);
-    end (queue, 1); // Teaches 50 ms a run.
+    finishRun (queue, 1); // The learned run time is 50 ms.
     fill (queue, 1);
 
     for (std::uint64_t id = 2; id <= 6; ++id)
         EXPECT_EQ (queue.offer (at (0), request (id, 1, 1000, 1000)), AdmissionDecision::wait);
 
-    // Five wait in front of what is late already: 300 ms until its turn, and 35 ms of run at least.
+    // Five requests wait ahead of a late one: 300 ms until its start, and at least 35 ms of run.
     EXPECT_EQ (queue.offer (at (0), request (7, 1, -1, 320)), AdmissionDecision::refuse);
     EXPECT_EQ (queue.offer (at (0), request (8, 1, -1, 340)), AdmissionDecision::wait);
-    // A more urgent one doesn't wait behind them.
+    // A more urgent request doesn't wait behind them.
     EXPECT_EQ (queue.offer (at (0), request (9, 0, 100, 120)), AdmissionDecision::wait);
 }
 
-TEST (AdmissionQueue, ExpiresWhatCanNoLongerFinish)
+TEST (AdmissionQueue, ExpiresRequestsThatCanNoLongerFinish)
 {
     AdmissionQueue queue;
     queue.setLimit (1);
     fill (queue, 1);
     queue.offer (at (0), request (2, 1, 100, 200));
     queue.offer (at (0), request (3, 1, 100, 900));
-    EXPECT_EQ (queue.nextExpiry(), at (35)); // A long run of 65 ms would miss the target of 100.
+    EXPECT_EQ (queue.nextExpiry(), at (35)); // A run of 65 ms would miss the target of 100.
     EXPECT_TRUE (queue.expire (at (36)).empty());
     EXPECT_EQ (queue.waitingLate(), 2U);
-    EXPECT_EQ (queue.nextExpiry(), at (165)); // 200 less seven tenths of 50.
+    EXPECT_EQ (queue.nextExpiry(), at (165)); // The deadline of 200 less 0.7 x 50.
     EXPECT_TRUE (queue.expire (at (165)).empty());
     EXPECT_EQ (queue.expire (at (166)), (Ids{ 2 }));
     EXPECT_EQ (queue.waiting(), 1U);
 }
 
-TEST (AdmissionQueue, AReturnGoesByTheTargetOfItsFirstAttempt)
+TEST (AdmissionQueue, ARetryIsOrderedByTheTargetOfItsFirstAttempt)
 {
     AdmissionQueue queue;
     queue.setLimit (1);
     fill (queue, 1);
     queue.offer (at (0), request (2, 1, -300, 2000));
-    queue.offer (at (0), request (3, 1, -300, 1900)); // Came back after its target.
+    queue.offer (at (0), request (3, 1, -300, 1900)); // A retry after its target.
     queue.offer (at (0), request (4, 1, 500, 2000));
-    queue.offer (at (0), request (5, 1, 450, 2000)); // Came back in time, so it is due before 4.
+    queue.offer (at (0), request (5, 1, 450, 2000)); // A retry in time, so it is due before 4.
     EXPECT_EQ (queue.waitingLate(), 2U);
-    Ids taken;
+    Ids startOrder;
 
     for (std::uint64_t running = 1; running != 0;)
     {
@@ -202,15 +202,15 @@
         running = queue.next (at (10));
 
         if (running != 0)
-            taken.push_back (running);
+            startOrder.push_back (running);
     }
 
-    EXPECT_EQ (taken, (Ids{ 5, 4, 3, 2 }));
+    EXPECT_EQ (startOrder, (Ids{ 5, 4, 3, 2 }));
     EXPECT_EQ (queue.begun()[static_cast<std::size_t> (Timeliness::inTime)], 3U);
     EXPECT_EQ (queue.begun()[static_cast<std::size_t> (Timeliness::late)], 2U);
 }
 
-TEST (AdmissionQueue, WhatRunsAtOnceIsCountedByWhatItIs)
+TEST (AdmissionQueue, ImmediateStartsAreCountedByTimeliness)
 {
     AdmissionQueue queue;
     queue.setLimit (2);
@@ -221,7 +221,7 @@
         EXPECT_EQ (count, 1U);
 }
 
-TEST (AdmissionQueue, TheSpreadOfRunTimesDecidesWhatIsInTime)
+TEST (AdmissionQueue, TheSpreadOfRunTimesDecidesWhichRequestsAreInTime)
 {
     const auto lateAfterRuns = [] (double first, double second)
     {
@@ -238,12 +238,12 @@
         queue.offer (at (0), request (2, 1, 220, 2000));
         return queue.waitingLate() == 1;
     };
-    // Both take 100 ms on the average, and a slot is free after about as long.
+    // Both average 100 ms, and a slot becomes free after about that time.
     EXPECT_FALSE (lateAfterRuns (100, 100));
     EXPECT_TRUE (lateAfterRuns (20, 180));
 }
 
-TEST (AdmissionQueue, ALateOneIsRefusedWhereNoSlotsAreToBeHadForLateOnes)
+TEST (AdmissionQueue, ALateRequestIsRefusedWhileNoSlotsAreFreeForLateOnes)
 {
     AdmissionQueue queue;
     queue.setLimit (1);
@@ -251,13 +251,13 @@
     EXPECT_EQ (queue.offer (at (0), request (2, 1, -1, 1000)), AdmissionDecision::wait);
     EXPECT_EQ (queue.offer (at (400), request (3, 1, -1, 1000)), AdmissionDecision::refuse);
     EXPECT_EQ (queue.expire (at (966)), (Ids{ 2 }));
-    // Nothing late began for 966 ms, so it is tried again only after as long.
+    // No late request started for 966 ms, so the next one may wait only after that long.
     EXPECT_EQ (queue.offer (at (965), request (4, 1, -1, 1900)), AdmissionDecision::refuse);
     EXPECT_EQ (queue.offer (at (970), request (5, 1, -1, 1900)), AdmissionDecision::wait);
     EXPECT_EQ (queue.offer (at (980), request (6, 1, -1, 1900)), AdmissionDecision::refuse);
 }
 
-TEST (AdmissionQueue, LateOnesWaitWhileSlotsForThemComeSoon)
+TEST (AdmissionQueue, LateRequestsWaitWhileSlotsForThemAreFrequent)
 {
     AdmissionQueue queue;
     queue.setLimit (1);
@@ -275,7 +275,7 @@
         EXPECT_EQ (queue.offer (at (time), request (id, 1, -1, 5000)), AdmissionDecision::wait);
 }
 
-TEST (AdmissionQueue, CancelFreesASlotOrAPlace)
+TEST (AdmissionQueue, CancelFreesASlotOrAQueuePlace)
 {
     AdmissionQueue queue;
     queue.setLimit (1);
@@ -285,11 +285,11 @@
     EXPECT_TRUE (queue.cancel (2));
     EXPECT_FALSE (queue.cancel (1));
     EXPECT_EQ (queue.next (at (0)), 3U);
-    queue.finished (1, 50); // Late news of what was cancelled changes nothing.
+    queue.finished (1, 50); // The end of a cancelled run has no effect.
     EXPECT_EQ (queue.running(), 1U);
 }
 
-TEST (AdmissionQueue, ClearHandsBackAllThatWaitsAndLeavesWhatRuns)
+TEST (AdmissionQueue, ClearReturnsWaitingRequestsAndKeepsRunningOnes)
 {
     AdmissionQueue queue;
     queue.setLimit (1);
@@ -301,14 +301,14 @@
     EXPECT_EQ (queue.nextExpiry(), Timestamp::max());
 }
 
-TEST (AdmissionQueue, WhatMoreUrgentOnesWillOvertakeIsRefusedAtOnce)
+TEST (AdmissionQueue, ARequestThatMoreUrgentOnesWillOvertakeIsRefusedAtOnce)
 {
     AdmissionQueue queue;
     queue.setLimit (1);
     std::uint64_t id = 0;
     auto now = 0;
 
-    // An urgent one each 60 ms leaves few starts to others: a run takes 50 ms.
+    // Urgent runs of 50 ms every 60 ms leave few starts to other requests.
     for (; now < 6000; now += 60)
     {
         EXPECT_EQ (queue.offer (at (now), request (++id, 0, now + 200, now + 500)),
@@ -317,13 +317,13 @@
     }
 
     queue.offer (at (now), request (++id, 0, now + 200, now + 500));
-    const auto less = request (++id, 1, now + 200, now + 300);
-    EXPECT_EQ (queue.offer (at (now), less), AdmissionDecision::refuse);
+    const auto lessUrgent = request (++id, 1, now + 200, now + 300);
+    EXPECT_EQ (queue.offer (at (now), lessUrgent), AdmissionDecision::refuse);
     EXPECT_EQ (queue.offer (at (now), request (++id, 0, now + 200, now + 300)),
                AdmissionDecision::wait);
 }
 
-/** With slots for all, and two starts a second. */
+/** A queue with enough slots for all requests, but limited to two starts a second. */
 AdmissionQueue coldQueue()
 {
     AdmissionQueue queue;
@@ -334,7 +334,7 @@
     return queue;
 }
 
-TEST (AdmissionQueue, AColdInstanceGetsNoMoreThanItBearsThoughSlotsAreFree)
+TEST (AdmissionQueue, StartsAtAColdInstanceAreLimitedThoughSlotsAreFree)
 {
     auto queue = coldQueue();
     EXPECT_EQ (queue.offer (at (0), request (3, 0, 2000, 5000)), AdmissionDecision::wait);
@@ -344,7 +344,7 @@
     EXPECT_EQ (queue.nextBoundedStart (at (1010)), Timestamp::max()) << "nothing waits";
 }
 
-TEST (AdmissionQueue, WhatTheBoundLetsComeTooLateIsRefusedAtOnce)
+TEST (AdmissionQueue, ARequestThatTheStartLimitMakesTooLateIsRefusedAtOnce)
 {
     auto queue = coldQueue();
     EXPECT_EQ (queue.forecast (at (0), request (9, 0, 900, 900)).decision,
@@ -354,7 +354,7 @@
         << "until the next start, and the run";
 }
 
-TEST (AdmissionQueue, OfThoseThatTheBoundHoldsBackTheMostUrgentGoesFirst)
+TEST (AdmissionQueue, TheMostUrgentRequestThatTheStartLimitDelaysGoesFirst)
 {
     auto queue = coldQueue();
     queue.offer (at (0), request (3, 2, 4000, 5000));
