--- a/src/mesh/admission_queue.h
+++ b/src/mesh/admission_queue.h
@@ -183,7 +183,7 @@
     int limit = 1;
     StartWindow starts;
     double meanRunMs = 0;
-    double lateStartIntervalMs = 0; /**< Mean time between starts of late requests. */
+    double lateStartIntervalMs = 0; /**< Estimated time between starts of late requests. */
 
     /** When the last late request started, or one began to wait while no other late one did. */
     Timestamp lateIntervalBegin{};
