--- a/src/mesh/keeper_choice.cc
+++ b/src/mesh/keeper_choice.cc
@@ -10,10 +10,10 @@
 {
     for (const auto& node : candidates)
     {
-        const auto found = silentAt.find (node.ip);
-        const bool isSilent = found != silentAt.end() && now - found->second < silenceTime;
+        const auto found = unansweredAt.find (node.ip);
+        const bool isExcluded = found != unansweredAt.end() && now - found->second < exclusionTime;
 
-        if (! isSilent && std::find (tried.begin(), tried.end(), node.ip) == tried.end())
+        if (! isExcluded && std::find (tried.begin(), tried.end(), node.ip) == tried.end())
             return &node;
     }
 
--- a/src/mesh/keeper_choice.h
+++ b/src/mesh/keeper_choice.h
@@ -1,5 +1,5 @@
-/** Which node to ask for a tenant's quota: the first of the candidates that answers. Deciding code
-    without I/O.
+/** Chooses the node to ask for a tenant's quota: the first candidate that has not recently
+    failed to answer. The class does no I/O.
 */
 #pragma once
 
@@ -17,22 +17,25 @@
 class KeeperChoice
 {
 public:
-    /** @param tried  IPs that were asked in vain already
+    /** @param tried  IPs of the candidates that have already been asked without success
         @returns the candidate to ask; nullptr when none is left
     */
     const QuotaNode* next (Timestamp now, const std::vector<QuotaNode>& candidates,
                            const std::vector<std::string>& tried) const;
 
-    /** It didn't answer: it is left out for a while. */
-    void silent (Timestamp now, const std::string& ip) { silentAt[ip] = now; }
-    void answered (const std::string& ip) { silentAt.erase (ip); }
+    /** Records that a node did not answer, which excludes it from the choice for a while. */
+    void silent (Timestamp now, const std::string& ip) { unansweredAt[ip] = now; }
+
+    /** Records that a node answered, which makes it eligible again. */
+    void answered (const std::string& ip) { unansweredAt.erase (ip); }
 
 private:
-    // A keeper that is started again answers within about a second; until then each ask of it
-    // would hold up requests.
-    static constexpr Milliseconds silenceTime{ 500 };
+    // How long a node is excluded after it did not answer. A restarted keeper answers within about
+    // a second; until then each attempt to ask it would delay requests.
+    static constexpr Milliseconds exclusionTime{ 500 };
 
-    std::unordered_map<std::string, Timestamp> silentAt; /**< By IP. */
+    /** Time of the last failure, by IP. */
+    std::unordered_map<std::string, Timestamp> unansweredAt;
 };
 
 } // namespace copperlead::mesh
--- a/src/mesh/quota_message.cc
+++ b/src/mesh/quota_message.cc
@@ -8,14 +8,16 @@
 {
 
 constexpr std::uint32_t askMark = 0x636f7161, grantMark = 0x636f7167, pingMark = 0x636f7170;
-constexpr std::uint32_t mostTokens = 1'000'000;  // Beyond it a message is no message.
-constexpr double mostPerSecond = 1e9;            // Likewise.
-constexpr std::uint32_t longestRetryMs = 60'000; // Likewise.
 
-bool isSane (const Quota& quota)
+// Values above these limits are treated as damage, and the message is rejected.
+constexpr std::uint32_t maxTokens = 1'000'000;
+constexpr double maxPerSecond = 1e9; // The limit applies to bursts as well.
+constexpr std::uint32_t maxRetryMs = 60'000;
+
+bool isInRange (const Quota& quota)
 {
-    return quota.requestsPerSecond > 0 && quota.requestsPerSecond <= mostPerSecond &&
-           quota.burst >= 0 && quota.burst <= mostPerSecond;
+    return quota.requestsPerSecond > 0 && quota.requestsPerSecond <= maxPerSecond &&
+           quota.burst >= 0 && quota.burst <= maxPerSecond;
 }
 
 } // namespace
@@ -36,9 +38,9 @@
 }
 
 template <typename Archive>
-void serialize (Archive& archive, CandidatesDigest& told)
+void serialize (Archive& archive, CandidatesDigest& item)
 {
-    archive (told.tenant, told.digest);
+    archive (item.tenant, item.digest);
 }
 
 template <typename Archive>
@@ -47,8 +49,8 @@
     archive (ping.isReply);
     ping.digests.resize (archiveCount (archive, ping.digests.size(), QuotaPing::mostDigests));
 
-    for (auto& told : ping.digests)
-        archive (told);
+    for (auto& item : ping.digests)
+        archive (item);
 }
 
 std::string encode (const QuotaAsk& ask) { return encodeDatagram (askMark, ask); }
@@ -59,7 +61,7 @@
 {
     auto ask = decodeDatagram<QuotaAsk> (askMark, bytes);
 
-    if (! ask || ask->wanted > mostTokens || ask->returned > mostTokens || ! isSane (ask->quota))
+    if (! ask || ask->wanted > maxTokens || ask->returned > maxTokens || ! isInRange (ask->quota))
         return std::nullopt;
 
     return ask;
@@ -69,8 +71,8 @@
 {
     auto grant = decodeDatagram<QuotaGrant> (grantMark, bytes);
 
-    if (! grant || grant->granted > mostTokens || grant->retryAfterMs > longestRetryMs ||
-        ! (grant->alonePerSecond >= 0 && grant->alonePerSecond <= mostPerSecond))
+    if (! grant || grant->granted > maxTokens || grant->retryAfterMs > maxRetryMs ||
+        ! (grant->alonePerSecond >= 0 && grant->alonePerSecond <= maxPerSecond))
         return std::nullopt;
 
     return grant;
--- a/src/mesh/quota_message.h
+++ b/src/mesh/quota_message.h
@@ -1,6 +1,7 @@
-/** What nodes say to each other about quotas, by datagrams: a node asks the keeper of a tenant's
-    quota for room, and the keeper answers; keepers find out whom they reach. Any of it may be lost,
-    late or doubled: what isn't answered wasn't granted, and what was granted lapses.
+/** Datagrams that nodes exchange about quotas. A node asks the keeper of a tenant's quota for
+    tokens, and the keeper answers; keepers send pings to find out which nodes they reach.
+    Datagrams may be lost, delayed or duplicated: a node treats a quota request without an answer
+    as not granted, and granted tokens expire.
 */
 #pragma once
 
@@ -15,40 +16,50 @@
 namespace copperlead::mesh
 {
 
+/** A node's request for tokens of a tenant's quota. */
 struct QuotaAsk
 {
-    std::uint64_t number = 0; /**< Of the asking node; comes back with the grant. */
+    std::uint64_t number = 0; /**< Chosen by the asking node and repeated in the answer. */
     std::string tenant;
-    std::uint32_t wanted = 0;   /**< Requests. */
-    std::uint32_t returned = 0; /**< Of an earlier grant, which won't be used. */
-    Quota quota{}; /**< As the asking node knows it, for a keeper whose version lacks it. */
-    std::uint64_t candidates = 0; /**< Digest of those that the asking node knows. */
+    std::uint32_t wanted = 0;   /**< Tokens, one for each request of the tenant. */
+    std::uint32_t returned = 0; /**< Tokens of earlier grants that expired unused. */
+    /** The quota in the asking node's configuration, for a keeper whose version lacks the
+        tenant.
+    */
+    Quota quota{};
+    std::uint64_t candidates = 0; /**< Digest of the candidates that the asking node knows. */
 };
 
+/** A keeper's answer to a QuotaAsk. */
 struct QuotaGrant
 {
-    std::uint64_t number = 0; /**< Of the ask. */
-    std::uint32_t granted = 0;
-    std::uint32_t retryAfterMs = 0; /**< When there may be room again, if less was granted. */
-    std::string keeper;             /**< IP of the node to ask instead; empty: this one. */
-    double alonePerSecond = 0; /**< What the asking node may pass on while it reaches nobody. */
+    std::uint64_t number = 0;  /**< Number of the QuotaAsk that this answers. */
+    std::uint32_t granted = 0; /**< Tokens. */
+    /** Delay until tokens may be available, if too few were granted. */
+    std::uint32_t retryAfterMs = 0;
+    std::string keeper; /**< IP of the node to ask instead; empty if the sender is the keeper. */
+    /** Requests per second to pass on while no keeper can be reached. */
+    double alonePerSecond = 0;
 };
 
-/** A digest of the candidates of a tenant's quota, as one node knows them. */
+/** Digest of the candidates that one node knows for a tenant's quota. */
 struct CandidatesDigest
 {
     std::string tenant;
-    std::uint64_t digest = 0; /**< See digestOf(). */
+    std::uint64_t digest = 0; /**< Result of digestOf(). */
 };
 
-/** A keeper asks whether a node can be reached and whom it takes for candidates. */
+/** A keeper's check whether a node can be reached and knows the same candidates. */
 struct QuotaPing
 {
     bool isReply = false;
 
-    /** Of the tenants that the keeper keeps; a reply has its sender's own, for the same tenants. */
+    /** Digests for the tenants whose quotas the keeper keeps. A reply holds the replying node's
+        digests for the same tenants.
+    */
     std::vector<CandidatesDigest> digests;
 
+    /** Most digests that one datagram may hold. */
     static constexpr std::size_t mostDigests = 32;
 };
 
@@ -56,8 +67,9 @@
 std::string encode (const QuotaGrant& grant);
 std::string encode (const QuotaPing& ping);
 
-/** @returns nothing when the datagram is no whole message of the kind or holds a value out of range
- */
+/** @returns the message; nothing if the datagram is truncated, of another kind or
+    holds a value out of range
+*/
 std::optional<QuotaAsk> decodeQuotaAsk (std::string_view bytes);
 std::optional<QuotaGrant> decodeQuotaGrant (std::string_view bytes);
 std::optional<QuotaPing> decodeQuotaPing (std::string_view bytes);
