--- a/src/mesh/flow_shares.cc
+++ b/src/mesh/flow_shares.cc
@@ -10,42 +10,43 @@
 namespace
 {
 
-constexpr double fadeTimeMs = 3000; // In which the weight of what flowed falls to a third.
+// Time constant of the exponential decay: after it, an observation weighs 1/e, about a third.
+constexpr double decayTimeMs = 3000;
 
 } // namespace
 
-double FlowShares::Fading::at (Timestamp now) const
+double FlowShares::DecayingCount::at (Timestamp now) const
 {
-    return count * std::exp (-toMilliseconds (now - countedAt) / fadeTimeMs);
+    return count * std::exp (-toMilliseconds (now - updatedAt) / decayTimeMs);
 }
 
-void FlowShares::Fading::add (Timestamp now, double more)
+void FlowShares::DecayingCount::add (Timestamp now, double more)
 {
     count = at (now) + more;
-    countedAt = now;
+    updatedAt = now;
 }
 
 void FlowShares::observe (Timestamp now, const std::string& receiver, double count)
 {
-    whole.add (now, count);
+    total.add (now, count);
     byReceiver[receiver].add (now, count);
 }
 
 double FlowShares::perSecond (Timestamp now, const std::string& receiver) const
 {
     const auto found = byReceiver.find (receiver);
-    return found == byReceiver.end() ? 0 : found->second.at (now) * 1000 / fadeTimeMs;
+    return found == byReceiver.end() ? 0 : found->second.at (now) * 1000 / decayTimeMs;
 }
 
 double FlowShares::shareOf (Timestamp now, const std::string& receiver) const
 {
     const auto found = byReceiver.find (receiver);
-    const auto all = whole.at (now);
+    const auto totalNow = total.at (now);
 
-    if (found == byReceiver.end() || all <= 0)
+    if (found == byReceiver.end() || totalNow <= 0)
         return 0;
 
-    return std::clamp (found->second.at (now) / all, 0.0, 1.0);
+    return std::clamp (found->second.at (now) / totalNow, 0.0, 1.0);
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/flow_shares.h
+++ b/src/mesh/flow_shares.h
@@ -1,4 +1,6 @@
-/** What share of a flow goes to whom, over the last seconds. Deciding code without I/O. */
+/** Estimates which share of a flow each receiver got over the last seconds. The class does no
+    I/O.
+*/
 #pragma once
 
 #include <string>
@@ -13,26 +15,28 @@
 class FlowShares
 {
 public:
+    /** Records that `count` items went to a receiver. */
     void observe (Timestamp now, const std::string& receiver, double count);
 
+    /** @returns the items per second that a receiver gets, recent ones weighing most. */
     double perSecond (Timestamp now, const std::string& receiver) const;
 
-    /** From 0 to 1; 0 without any flow. */
+    /** @returns the receiver's share of the whole flow, from 0 to 1; 0 without any flow. */
     double shareOf (Timestamp now, const std::string& receiver) const;
 
 private:
-    /** Older flow counts less. */
-    struct Fading
+    /** A count that decays exponentially with time. */
+    struct DecayingCount
     {
         double count = 0;
-        Timestamp countedAt{};
+        Timestamp updatedAt{};
 
         double at (Timestamp now) const;
         void add (Timestamp now, double more);
     };
 
-    Fading whole;
-    std::unordered_map<std::string, Fading> byReceiver;
+    DecayingCount total;
+    std::unordered_map<std::string, DecayingCount> byReceiver;
 };
 
 } // namespace copperlead::mesh
--- a/src/mesh/quota_bounds.h
+++ b/src/mesh/quota_bounds.h
@@ -1,4 +1,4 @@
-/** What holds for the quotas of all tenants. */
+/** The limits within which the quotas of all tenants are enforced. */
 #pragma once
 
 #include "base/time.h"
@@ -7,17 +7,17 @@
 namespace copperlead::mesh
 {
 
-/** Within any window the requests of a tenant that run, over all nodes, must not be more than
-    (rate x window + burst) x (1 + over) + slack.
+/** The fleet-wide limit on a tenant's requests. Within any window, at most
+    (rate x window + burst) x (1 + over) + slack of them may run over all nodes.
 */
 struct QuotaBounds
 {
     Milliseconds window{ 5000 };
-    double over = 0.25;
-    double slack = 20;
+    double over = 0.25; /**< Permitted excess, as a share of the quota within a window. */
+    double slack = 20;  /**< Further permitted excess in requests per window. */
 
-    /** Requests a second that keep within the quota in every window, burst included: a node that
-        asks steadily isn't refused what the quota allows it.
+    /** @returns the requests per second that a keeper may grant steadily. The burst is spread over
+        the window, so that a node that asks steadily isn't refused what the quota allows.
     */
     double perSecond (const Quota& quota) const
     {
@@ -25,17 +25,18 @@
                quota.burst / std::chrono::duration<double> (window).count();
     }
 
-    /** What may run beyond the quota itself within a window. */
-    double excess (const Quota& quota) const
+    /** @returns the requests that may run within a window in addition to the quota. */
+    double permittedExcess (const Quota& quota) const
     {
         const auto seconds = std::chrono::duration<double> (window).count();
         return over * (quota.requestsPerSecond * seconds + quota.burst) + slack;
     }
 };
 
-/** For how long a node may use what its keeper granted. What is granted before a window and used in
-    it adds rate x this to what runs there, at most 0.16 of a window of 5 s.
+/** How long a node may use what its keeper granted. Requests that are granted before a window
+    and run within it add up to rate x this duration to that window. With a window of 5 s, this is
+    at most 0.16 of what the rate allows.
 */
-inline constexpr Milliseconds quotaLeaseTime{ 800 };
+inline constexpr Milliseconds quotaLeaseDuration{ 800 };
 
 } // namespace copperlead::mesh
--- a/src/mesh/quota_keeper.cc
+++ b/src/mesh/quota_keeper.cc
@@ -9,26 +9,33 @@
 namespace
 {
 
-// Of a quota's burst, and of what may run beyond the quota: kept as room for bursts. The rest
-// covers leases that outlive a change of keepers, and what nodes pass that reach no keeper.
-constexpr double burstKept = 0.5, excessKept = 0.15;
-// Of the slack: two keepers that begin at once, and nodes alone, fit into it.
-constexpr double startOfSlack = 0.1;
-// Of what a node was granted lately, while the tenant asks for more than its quota: its keeper
-// grants all to others meanwhile, so that half of the nodes may be alone within the bound.
-constexpr double aloneShareWhenShort = 0.4;
-// Of what a node was granted lately, while the tenant asks for less than its quota: requests come
-// unevenly. A tenant whose requests come tenfold then still keeps within the bound with a third of
-// the nodes alone.
-constexpr double aloneFlow = 1.25;
-constexpr Milliseconds shortMemory{ 3000 }; // For which a tenant counts as asking for more.
-constexpr std::uint32_t leastRetryMs = 20, mostRetryMs = 250;
-constexpr std::uint32_t silenceRetryMs = 60; // About half of the time in which a keeper answers.
+// The parts of the quota's burst and of the permitted excess that make up the capacity of the token
+// bucket. The rest covers leases that outlast a change of keepers and requests that nodes pass
+// without a keeper.
+constexpr double burstPart = 0.5, excessPart = 0.15;
+// Part of the slack that a new token bucket holds. The slack suffices for two keepers that start at
+// the same time and for nodes that reach no keeper.
+constexpr double initialSlackPart = 0.1;
+// Part of a node's share of the quota that it may pass on without a keeper while the tenant asks
+// for more than its quota. The keeper grants the whole quota to other nodes in that time; with this
+// factor, half of the nodes may be without a keeper within the bound.
+constexpr double fallbackFactorOverQuota = 0.4;
+// Ratio of the rate that a node may pass on without a keeper to the rate that it was granted
+// lately, while the tenant asks for less than its quota. It is above 1 because requests arrive
+// unevenly. If the tenant's requests then increase tenfold, the bound still holds with a third of
+// the nodes without a keeper.
+constexpr double fallbackFactorWithinQuota = 1.25;
+// How long a tenant counts as asking for more than its quota after a shortage.
+constexpr Milliseconds shortageMemory{ 3000 };
+constexpr std::uint32_t minRetryMs = 20, maxRetryMs = 250;
+// Retry delay while a stand-in waits for answers from the candidates above it: about half of
+// standInDelay.
+constexpr std::uint32_t standInRetryMs = 60;
 
 } // namespace
 
-QuotaKeeper::QuotaKeeper (QuotaBounds boundsToKeep, std::uint64_t seed)
-    : bounds (boundsToKeep)
+QuotaKeeper::QuotaKeeper (QuotaBounds boundsToEnforce, std::uint64_t seed)
+    : bounds (boundsToEnforce)
     , random (static_cast<std::minstd_rand::result_type> (seed % std::minstd_rand::modulus))
 {
 }
@@ -47,7 +54,7 @@
 
 CandidatesDigest QuotaKeeper::digestFor (const std::string& tenant)
 {
-    if (digests.size() >= mostKnownDigests)
+    if (digests.size() >= maxCachedDigests)
         digests.clear();
 
     const auto [found, isNew] = digests.try_emplace (tenant, 0);
@@ -68,41 +75,42 @@
     return all;
 }
 
-void QuotaKeeper::heardDigest (Timestamp now, const std::string& ip, const CandidatesDigest& told)
+void QuotaKeeper::heardDigest (Timestamp now, const std::string& ip,
+                               const CandidatesDigest& received)
 {
     const auto* zone = view.zoneOf (ip);
-    const auto found = byTenant.find (told.tenant);
+    const auto found = byTenant.find (received.tenant);
 
-    // That this node hears itself says nothing of its zone.
+    // A datagram from this node itself doesn't show that its zone can be reached.
     if (zone == nullptr || found == byTenant.end() || ip == view.own().ip)
         return;
 
-    const bool agrees = told.digest == digestFor (told.tenant).digest;
-    found->second.words[*zone] = { now, agrees };
+    const bool agrees = received.digest == digestFor (received.tenant).digest;
+    found->second.agreements[*zone] = { now, agrees };
 }
 
 bool QuotaKeeper::heardLately (Timestamp now, const std::string& ip) const
 {
     const auto found = heardAt.find (ip);
-    return found != heardAt.end() && now - found->second <= hearingTime;
+    return found != heardAt.end() && now - found->second <= reachabilityTimeout;
 }
 
 double QuotaKeeper::reachableShare (Timestamp now, const std::string& tenant) const
 {
     const auto found = byTenant.find (tenant);
-    return reachableShare (now, found == byTenant.end() ? Kept{} : found->second);
+    return reachableShare (now, found == byTenant.end() ? KeptQuota{} : found->second);
 }
 
-double QuotaKeeper::reachableShare (Timestamp now, const Kept& kept) const
+double QuotaKeeper::reachableShare (Timestamp now, const KeptQuota& kept) const
 {
     std::size_t reachable = 0;
 
     for (const auto& [zone, nodes] : view.byZone())
     {
-        const auto found = kept.words.find (zone);
+        const auto found = kept.agreements.find (zone);
 
-        if (found != kept.words.end() && found->second.agrees &&
-            now - found->second.at <= hearingTime)
+        if (found != kept.agreements.end() && found->second.agrees &&
+            now - found->second.at <= reachabilityTimeout)
             reachable += nodes.size();
         else if (zone == view.own().zone)
             reachable += 1; // This node itself.
@@ -114,79 +122,82 @@
 
 double QuotaKeeper::capacityOf (const Tenant& tenant) const
 {
-    return burstKept * tenant.quota.burst + excessKept * bounds.excess (tenant.quota);
+    return burstPart * tenant.quota.burst + excessPart * bounds.permittedExcess (tenant.quota);
 }
 
-double QuotaKeeper::rateOf (Timestamp now, const Tenant& tenant, const Kept& kept) const
+double QuotaKeeper::rateOf (Timestamp now, const Tenant& tenant, const KeptQuota& kept) const
 {
     return bounds.perSecond (tenant.quota) * reachableShare (now, kept);
 }
 
-std::string QuotaKeeper::livingKeeper (Timestamp now, const Tenant& tenant, Kept& kept)
+std::string QuotaKeeper::liveKeeperAbove (Timestamp now, const Tenant& tenant, KeptQuota& kept)
 {
-    const auto before = view.candidatesBeforeOwn (tenant.name);
+    const auto above = view.candidatesAboveOwn (tenant.name);
 
-    if (before.empty())
+    if (above.empty())
     {
         kept.standingInSince = {};
         return {};
     }
 
-    if (kept.standingInSince == Timestamp{} || now - kept.askedAt > idleTime)
+    if (kept.standingInSince == Timestamp{} || now - kept.askedAt > idleTimeout)
         kept.standingInSince = now;
 
-    for (const auto& node : before)
+    for (const auto& node : above)
         if (heardLately (now, node.ip))
             return node.ip;
 
     return {};
 }
 
-bool QuotaKeeper::mayGrant (Timestamp now, const Kept& kept) const
+bool QuotaKeeper::mayGrant (Timestamp now, const KeptQuota& kept) const
 {
-    return kept.standingInSince == Timestamp{} || now - kept.standingInSince >= silenceTime;
+    return kept.standingInSince == Timestamp{} || now - kept.standingInSince >= standInDelay;
 }
 
-void QuotaKeeper::fill (Timestamp now, const Tenant& tenant, Kept& kept)
+void QuotaKeeper::refill (Timestamp now, const Tenant& tenant, KeptQuota& kept)
 {
-    if (! kept.bucket || now - kept.askedAt > idleTime)
+    if (! kept.bucket || now - kept.askedAt > idleTimeout)
     {
-        kept.bucket.emplace (now, std::min (startOfSlack * bounds.slack, capacityOf (tenant)));
+        kept.bucket.emplace (now, std::min (initialSlackPart * bounds.slack, capacityOf (tenant)));
         ++kept.report.begun;
         begun = true;
     }
 
-    kept.bucket->fill (now, rateOf (now, tenant, kept), capacityOf (tenant));
+    kept.bucket->refill (now, rateOf (now, tenant, kept), capacityOf (tenant));
     kept.askedAt = now;
 }
 
-void QuotaKeeper::takeBack (Timestamp now, const Tenant& tenant, Kept& kept,
+void QuotaKeeper::takeBack (Timestamp now, const Tenant& tenant, KeptQuota& kept,
                             std::uint32_t returned) const
 {
-    while (! kept.unlapsed.empty() && now - kept.unlapsed.front().first >= quotaLeaseTime)
+    while (! kept.unexpired.empty() && now - kept.unexpired.front().first >= quotaLeaseDuration)
     {
-        kept.unlapsedSum -= kept.unlapsed.front().second;
-        kept.unlapsed.pop_front();
+        kept.unexpiredSum -= kept.unexpired.front().second;
+        kept.unexpired.pop_front();
     }
 
-    // Nodes hold no more than was granted steadily in a lease's time, and a burst. Otherwise what
-    // lapses unused while no instance can be reached would be granted again and again beside what
-    // is new, without end.
-    const auto steady =
-        bounds.perSecond (tenant.quota) * std::chrono::duration<double> (quotaLeaseTime).count();
+    // Returned tokens are accepted only while the unexpired grants and the bucket together hold no
+    // more than the steady rate over the lease duration plus a burst. Otherwise tokens that expire
+    // unused while no instance can be reached would be granted again and again in addition to new
+    // ones, without limit.
+    const auto steadyTokens = bounds.perSecond (tenant.quota) *
+                              std::chrono::duration<double> (quotaLeaseDuration).count();
     const auto capacity = capacityOf (tenant);
-    const auto room = std::clamp (steady + capacity - kept.unlapsedSum, 0.0, capacity);
+    const auto room = std::clamp (steadyTokens + capacity - kept.unexpiredSum, 0.0, capacity);
     kept.bucket->giveBack (returned, room);
     kept.report.returned += returned;
 }
 
-double QuotaKeeper::alonePartOf (Timestamp now, const Tenant& tenant, const Kept& kept,
-                                 const std::string& ip) const
+double QuotaKeeper::fallbackRateOf (Timestamp now, const Tenant& tenant, const KeptQuota& kept,
+                                    const std::string& ip) const
 {
-    if (now - kept.shortAt <= shortMemory)
-        return aloneShareWhenShort * tenant.quota.requestsPerSecond * kept.flow.shareOf (now, ip);
+    if (now - kept.shortageAt <= shortageMemory)
+        return fallbackFactorOverQuota * tenant.quota.requestsPerSecond *
+               kept.flow.shareOf (now, ip);
 
-    return std::min (aloneFlow * kept.flow.perSecond (now, ip), tenant.quota.requestsPerSecond);
+    return std::min (fallbackFactorWithinQuota * kept.flow.perSecond (now, ip),
+                     tenant.quota.requestsPerSecond);
 }
 
 QuotaGrant QuotaKeeper::ask (Timestamp now, const Tenant& tenant, const QuotaAsk& ask,
@@ -198,7 +209,7 @@
     ++counts.asked;
     lastAskAt = now;
     heardDigest (now, ip, { tenant.name, ask.candidates });
-    grant.keeper = livingKeeper (now, tenant, kept);
+    grant.keeper = liveKeeperAbove (now, tenant, kept);
 
     if (! grant.keeper.empty())
     {
@@ -209,12 +220,12 @@
         return grant;
     }
 
-    fill (now, tenant, kept);
+    refill (now, tenant, kept);
     takeBack (now, tenant, kept, ask.returned);
 
     if (! mayGrant (now, kept))
     {
-        grant.retryAfterMs = silenceRetryMs;
+        grant.retryAfterMs = standInRetryMs;
         return grant;
     }
 
@@ -223,14 +234,14 @@
 
     if (grant.granted > 0)
     {
-        kept.unlapsed.emplace_back (now, grant.granted);
-        kept.unlapsedSum += grant.granted;
+        kept.unexpired.emplace_back (now, grant.granted);
+        kept.unexpiredSum += grant.granted;
     }
 
     if (grant.granted < ask.wanted)
-        kept.shortAt = now;
+        kept.shortageAt = now;
 
-    grant.alonePerSecond = alonePartOf (now, tenant, kept, ip);
+    grant.alonePerSecond = fallbackRateOf (now, tenant, kept, ip);
     counts.granted += grant.granted;
     counts.refused += ask.wanted - grant.granted;
     kept.report.granted += grant.granted;
@@ -243,7 +254,7 @@
         const auto rate = std::max (rateOf (now, tenant, kept), 1e-3);
         const auto ms = 1000 * (1 - kept.bucket->level()) / rate;
         grant.retryAfterMs =
-            static_cast<std::uint32_t> (std::clamp<double> (ms, leastRetryMs, mostRetryMs));
+            static_cast<std::uint32_t> (std::clamp<double> (ms, minRetryMs, maxRetryMs));
     }
 
     return grant;
@@ -264,8 +275,9 @@
 {
     std::vector<std::string> due;
     std::erase_if (byTenant,
-                   [&] (const auto& item) { return now - item.second.askedAt > idleTime; });
-    std::erase_if (heardAt, [&] (const auto& item) { return now - item.second > hearingTime; });
+                   [&] (const auto& item) { return now - item.second.askedAt > idleTimeout; });
+    std::erase_if (heardAt,
+                   [&] (const auto& item) { return now - item.second > reachabilityTimeout; });
 
     if (! active (now))
         return due;
@@ -274,14 +286,14 @@
     {
         std::uniform_int_distribution<std::size_t> any (0, nodes.size() - 1);
         const auto& drawn = nodes[any (random)];
-        // Of the own zone it may be this node: another is drawn next time.
+        // In its own zone, a node may draw itself; it then sends no ping there until the next call.
         if (drawn.ip != view.own().ip)
             due.push_back (drawn.ip);
     }
 
-    // Whether those live that go before, for the tenants that are asked about here.
+    // Pings the higher-ranked candidates of the kept tenants to learn whether they are alive.
     for (const auto& [tenant, kept] : byTenant)
-        for (const auto& node : view.candidatesBeforeOwn (tenant))
+        for (const auto& node : view.candidatesAboveOwn (tenant))
             if (std::find (due.begin(), due.end(), node.ip) == due.end())
                 due.push_back (node.ip);
 
--- a/src/mesh/quota_keeper.h
+++ b/src/mesh/quota_keeper.h
@@ -1,16 +1,19 @@
-/** Keeps the quotas of those tenants whose keeper this node is: grants room to the nodes that ask.
-    Deciding code without I/O.
-
-    Nothing shared can be written, so nobody can say that there is one keeper only. What keeps two
-    from granting the whole twice is that each grants the rate in proportion to the nodes that it
-    can reach and that take the same nodes for candidates: it asks one node of each other zone now
-    and then, and a zone that doesn't answer, or answers that it has others, counts for nothing. Two
-    sides of a cut so add up to one whole, and so do two keepers of which each is the first in the
-    lists of some. What a node that reaches nobody may pass on is its part of what was granted
-    lately, so that the parts of all add up to one, too.
-   A node that isn't the first in its own ranking grants only while all that go before it are
-   silent. A keeper that begins, or was not asked for a while, begins with little, since another may
-   have granted meanwhile; one that slept finds all that it heard too old.
+/** Grants tokens of those tenants' quotas whose keeper this node is to the nodes that ask for
+    them. The class does no I/O.
+
+    The nodes have no shared storage that they can write, so a single keeper can't be guaranteed.
+    To keep two keepers from granting the whole quota twice, each grants the rate in proportion
+    to the nodes that it can reach and that know the same candidates. It regularly pings one node
+    of each zone; a zone that doesn't answer, or that knows other candidates, counts as
+    unreachable. The grants on both sides of a network partition therefore add up to one quota,
+    and so do those of two keepers that each rank first in the lists of some nodes. A node that
+    reaches no keeper may pass on its share of what was granted lately, so that the shares of all
+    nodes add up to one quota, too.
+
+    A node that doesn't rank first for a tenant grants only while all candidates that rank above
+    it are silent. A keeper that starts, or has not been asked for a while, starts with few
+    tokens, since another keeper may have granted in that time. For a keeper whose process was
+    paused, all that it heard before is out of date.
 */
 #pragma once
 
@@ -33,52 +36,57 @@
 namespace copperlead::mesh
 {
 
-/** Counted since the start. */
+/** Counts since the process started. */
 struct QuotaKeeperCounters
 {
-    std::uint64_t asked = 0, granted = 0, refused = 0; /**< Asks; requests granted and not. */
-    std::uint64_t redirected = 0;                      /**< Asks: another keeper is alive. */
+    /** Quota requests received; tokens granted and refused. */
+    std::uint64_t asked = 0, granted = 0, refused = 0;
+    std::uint64_t redirected = 0; /**< Quota requests redirected to another live keeper. */
 };
 
 /** Not thread-safe. */
 class QuotaKeeper
 {
 public:
-    QuotaKeeper (QuotaBounds boundsToKeep, std::uint64_t seed);
+    QuotaKeeper (QuotaBounds boundsToEnforce, std::uint64_t seed);
 
     void setView (QuotaView newView);
 
-    /** Something came from a node. */
+    /** Records that a datagram of a node arrived, which shows that the node can be reached. */
     void heard (Timestamp now, const std::string& ip);
 
-    /** A node told its digest of a tenant's candidates. */
-    void heardDigest (Timestamp now, const std::string& ip, const CandidatesDigest& told);
+    /** Records a node's digest of a tenant's candidates. */
+    void heardDigest (Timestamp now, const std::string& ip, const CandidatesDigest& received);
 
-    /** The digest of a tenant's candidates as this node knows them. */
+    /** @returns the digest of a tenant's candidates that this node knows. */
     CandidatesDigest digestFor (const std::string& tenant);
 
-    /** Those of the tenants whose quotas are kept here. */
+    /** @returns the digests for the tenants whose quotas this node keeps. */
     std::vector<CandidatesDigest> keptDigests();
 
-    /** @param ip  of the node that asks */
+    /** Answers a quota request.
+        @param ip  IP of the asking node
+    */
     QuotaGrant ask (Timestamp now, const Tenant& tenant, const QuotaAsk& ask,
                     const std::string& ip);
 
-    /** The nodes to ping now. To be called every pingInterval. */
+    /** Discards outdated state. Must be called once per pingInterval.
+        @returns the IPs of the nodes to ping now
+    */
     std::vector<std::string> pingsDue (Timestamp now);
 
-    /** Whether a tenant's quota has been kept only since the last call. */
+    /** @returns whether this node has started to keep a tenant's quota since the last call. */
     bool hasBegun() { return std::exchange (begun, false); }
 
-    /** Whether anything is kept here, so that pings are to be sent. */
-    bool active (Timestamp now) const { return now - lastAskAt <= idleTime; }
+    /** @returns whether quota requests have arrived lately, so that pings must be sent. */
+    bool active (Timestamp now) const { return now - lastAskAt <= idleTimeout; }
 
-    /** The share of the fleet's nodes that this one can reach and that take the same nodes for
-        candidates of the tenant, by what it heard lately.
+    /** @returns the share of the fleet's nodes that this node can reach and that know the same
+        candidates for the tenant, judged by the latest datagrams.
     */
     double reachableShare (Timestamp now, const std::string& tenant) const;
 
-    /** What was done since the last call, by tenant. */
+    /** @returns what this node did as a keeper since the last call, by tenant. */
     std::vector<std::pair<std::string, QuotaKeeping>> takeReports();
 
     const QuotaKeeperCounters& counters() const { return counts; }
@@ -86,53 +94,60 @@
     static constexpr Milliseconds pingInterval{ 150 };
 
 private:
-    // Three pings may be lost, or late, before a zone counts as cut off.
-    static constexpr Milliseconds hearingTime{ 500 };
-    static constexpr Milliseconds idleTime{ 2500 };
-    // In which a keeper that goes before would have answered a ping.
-    static constexpr Milliseconds silenceTime{ 120 };
-
-    /** What a zone's node said last of the candidates. */
-    struct ZoneWord
+    // A node or zone counts as unreachable after this time without a datagram. Three pings may be
+    // lost or late before that.
+    static constexpr Milliseconds reachabilityTimeout{ 500 };
+    // A tenant's quota is no longer kept after this time without a quota request.
+    static constexpr Milliseconds idleTimeout{ 2500 };
+    // A stand-in waits this long before it grants. A live keeper that ranks above it would have
+    // answered a ping by then.
+    static constexpr Milliseconds standInDelay{ 120 };
+
+    /** Whether a node of a zone agreed about the candidates in its latest digest. */
+    struct ZoneAgreement
     {
         Timestamp at{};
         bool agrees = false;
     };
 
-    struct Kept
+    /** State of a tenant's quota that this node keeps. */
+    struct KeptQuota
     {
-        std::unordered_map<std::string, ZoneWord> words; /**< By zone. */
+        std::unordered_map<std::string, ZoneAgreement> agreements; /**< By zone. */
         std::optional<TokenBucket> bucket;
-        FlowShares flow; /**< Of what was granted, by IP. */
-        std::deque<std::pair<Timestamp, std::uint32_t>> unlapsed; /**< Grants, by their time. */
-        std::uint32_t unlapsedSum = 0;
+        FlowShares flow; /**< Tokens granted, by IP. */
+        /** Time and tokens of each grant. */
+        std::deque<std::pair<Timestamp, std::uint32_t>> unexpired;
+        std::uint32_t unexpiredSum = 0;
         Timestamp askedAt{};
-        Timestamp shortAt{};         /**< When less was granted than asked for. */
-        Timestamp standingInSince{}; /**< While others go before this node. */
+        Timestamp shortageAt{};      /**< When fewer tokens were last granted than asked for. */
+        Timestamp standingInSince{}; /**< Start of standing in; zero if this node ranks first. */
         QuotaKeeping report;
     };
 
     bool heardLately (Timestamp now, const std::string& ip) const;
-    std::string livingKeeper (Timestamp now, const Tenant& tenant, Kept& kept);
-    double alonePartOf (Timestamp now, const Tenant& tenant, const Kept& kept,
-                        const std::string& ip) const;
-    bool mayGrant (Timestamp now, const Kept& kept) const;
-    void fill (Timestamp now, const Tenant& tenant, Kept& kept);
-    void takeBack (Timestamp now, const Tenant& tenant, Kept& kept, std::uint32_t returned) const;
-    double reachableShare (Timestamp now, const Kept& kept) const;
-    double rateOf (Timestamp now, const Tenant& tenant, const Kept& kept) const;
+    std::string liveKeeperAbove (Timestamp now, const Tenant& tenant, KeptQuota& kept);
+    double fallbackRateOf (Timestamp now, const Tenant& tenant, const KeptQuota& kept,
+                           const std::string& ip) const;
+    bool mayGrant (Timestamp now, const KeptQuota& kept) const;
+    void refill (Timestamp now, const Tenant& tenant, KeptQuota& kept);
+    void takeBack (Timestamp now, const Tenant& tenant, KeptQuota& kept,
+                   std::uint32_t returned) const;
+    double reachableShare (Timestamp now, const KeptQuota& kept) const;
+    double rateOf (Timestamp now, const Tenant& tenant, const KeptQuota& kept) const;
     double capacityOf (const Tenant& tenant) const;
 
     QuotaBounds bounds;
     QuotaView view;
     std::minstd_rand random;
-    std::unordered_map<std::string, Kept> byTenant;
+    std::unordered_map<std::string, KeptQuota> byTenant;
     std::unordered_map<std::string, Timestamp> heardAt; /**< By IP. */
 
-    // Ranking all nodes for each ping would cost a large fleet much; bounded, since names come from
-    // others' datagrams.
-    static constexpr std::size_t mostKnownDigests = 1024;
-    std::unordered_map<std::string, std::uint64_t> digests; /**< By tenant, of the present view. */
+    // Digests are cached because ranking all nodes for each ping is expensive in a large fleet. The
+    // cache is bounded because tenant names come from datagrams of other nodes.
+    static constexpr std::size_t maxCachedDigests = 1024;
+    /** Digests of the current view, by tenant. */
+    std::unordered_map<std::string, std::uint64_t> digests;
     Timestamp lastAskAt{};
     bool begun = false;
     QuotaKeeperCounters counts;
--- a/src/mesh/quota_lease.cc
+++ b/src/mesh/quota_lease.cc
@@ -11,32 +11,41 @@
 namespace
 {
 
-constexpr double rateTimeMs = 1000;     // Over which arrivals are averaged.
-constexpr double fewPerSecond = 6;      // Under it a node asks for each request.
-constexpr double aheadSeconds = 0.25;   // Far less than a grant lasts, so that little lapses.
-constexpr std::uint32_t mostAhead = 64; // Of one ask, so that a keeper's room isn't hoarded.
-constexpr double equalShare = 0.5; // Of an equal part: the keeper may well grant all to others.
-constexpr Milliseconds aloneMemory{ 15'000 }; // Clients move between nodes meanwhile.
-// Of its part a node saves up for when it is alone. What it saves is mostly less than one request,
-// so it gets one by chance: one for each node would be too many in a large fleet.
-constexpr double aloneSeconds = 0.5;
+// Time constant of the exponential average of the arrival rate.
+constexpr double rateTimeMs = 1000;
+// Requests per second below which a node asks for each request instead of in advance.
+constexpr double prefetchMinPerSecond = 6;
+// Seconds of requests to ask for in advance. This is far less than the lifetime of a grant, so that
+// few tokens expire unused.
+constexpr double prefetchSeconds = 0.25;
+// Most tokens that one quota request asks for in advance, so that a node doesn't hoard the quota.
+constexpr std::uint32_t maxPrefetch = 64;
+// Part of an equal share that a node passes on if no keeper has assigned it a share lately. It is
+// below 1 because the keeper may at the same time grant the whole quota to other nodes.
+constexpr double equalShareFactor = 0.5;
+// How long an assigned share stays valid. It expires because clients move between nodes.
+constexpr Milliseconds assignedShareTime{ 15'000 };
+// Seconds of its share that a node accumulates for use without a keeper. This is mostly less than
+// one request, and the fraction becomes a token by chance: one token for every node would be too
+// many in a large fleet.
+constexpr double fallbackBurstSeconds = 0.5;
 
 } // namespace
 
-void QuotaLease::observe (Timestamp now)
+void QuotaLease::countArrival (Timestamp now)
 {
     rate = perSecond (now) + 1000 / rateTimeMs;
-    ratedAt = now;
+    rateUpdatedAt = now;
 }
 
 double QuotaLease::perSecond (Timestamp now) const
 {
-    return rate * std::exp (-toMilliseconds (now - ratedAt) / rateTimeMs);
+    return rate * std::exp (-toMilliseconds (now - rateUpdatedAt) / rateTimeMs);
 }
 
 QuotaStep QuotaLease::take (Timestamp now)
 {
-    observe (now);
+    countArrival (now);
 
     if (takeGranted (now) == QuotaStep::pass)
         return QuotaStep::pass;
@@ -46,13 +55,13 @@
 
 QuotaStep QuotaLease::takeGranted (Timestamp now)
 {
-    dropLapsed (now);
+    dropExpired (now);
 
     if (tokens == 0)
         return QuotaStep::wait;
 
     const auto first = held.begin();
-    latestLapse = first->first;
+    latestExpiry = first->first;
     --tokens;
 
     if (--first->second == 0)
@@ -61,55 +70,55 @@
     return QuotaStep::pass;
 }
 
-void QuotaLease::dropLapsed (Timestamp now)
+void QuotaLease::dropExpired (Timestamp now)
 {
     while (! held.empty() && held.begin()->first <= now)
     {
-        lapsed += held.begin()->second;
+        expired += held.begin()->second;
         tokens -= held.begin()->second;
         held.erase (held.begin());
     }
 }
 
-double QuotaLease::alonePart (Timestamp now, const Quota& quota, std::size_t nodes) const
+double QuotaLease::fallbackShare (Timestamp now, const Quota& quota, std::size_t nodes) const
 {
-    if (heardAt != Timestamp{} && now - heardAt <= aloneMemory)
-        return aloneRate;
+    if (answeredAt != Timestamp{} && now - answeredAt <= assignedShareTime)
+        return fallbackRate;
 
-    return equalShare * quota.requestsPerSecond /
+    return equalShareFactor * quota.requestsPerSecond /
            static_cast<double> (std::max<std::size_t> (nodes, 1));
 }
 
 QuotaStep QuotaLease::takeAlone (Timestamp now, const Quota& quota, std::size_t nodes,
                                  double chance)
 {
-    const auto part = alonePart (now, quota, nodes);
+    const auto share = fallbackShare (now, quota, nodes);
 
-    if (! alone)
+    if (! fallback)
     {
-        const auto since = std::chrono::duration<double> (now - lastAlone).count();
-        const auto saved = part * std::min (since, aloneSeconds);
-        const auto whole = std::floor (saved);
-        alone.emplace (now, whole + (chance < saved - whole ? 1 : 0));
+        const auto idleSeconds = std::chrono::duration<double> (now - lastFallbackAt).count();
+        const auto accrued = share * std::min (idleSeconds, fallbackBurstSeconds);
+        const auto whole = std::floor (accrued);
+        fallback.emplace (now, whole + (chance < accrued - whole ? 1 : 0));
     }
 
-    alone->fill (now, part, std::max (part * aloneSeconds, 1.0));
-    lastAlone = now;
-    return alone->take (1) == 1 ? QuotaStep::pass : QuotaStep::refuse;
+    fallback->refill (now, share, std::max (share * fallbackBurstSeconds, 1.0));
+    lastFallbackAt = now;
+    return fallback->take (1) == 1 ? QuotaStep::pass : QuotaStep::refuse;
 }
 
-void QuotaLease::giveBack (Timestamp now, Timestamp lapsesAt)
+void QuotaLease::giveBack (Timestamp now, Timestamp expiresAt)
 {
-    if (now >= lapsesAt)
+    if (now >= expiresAt)
         return;
 
-    ++held[lapsesAt];
+    ++held[expiresAt];
     ++tokens;
 }
 
 std::uint32_t QuotaLease::wanted (Timestamp now, std::size_t waiting)
 {
-    dropLapsed (now);
+    dropExpired (now);
     const auto needed = static_cast<std::uint32_t> (waiting);
 
     if (now < refusedUntil)
@@ -117,27 +126,28 @@
 
     const auto perSecondNow = perSecond (now);
 
-    if (perSecondNow < fewPerSecond)
+    if (perSecondNow < prefetchMinPerSecond)
         return needed;
 
-    const auto ahead =
-        std::min (static_cast<std::uint32_t> (std::ceil (perSecondNow * aheadSeconds)), mostAhead);
-    return tokens > ahead / 2 ? needed : needed + ahead - tokens;
+    const auto prefetch = std::min (
+        static_cast<std::uint32_t> (std::ceil (perSecondNow * prefetchSeconds)), maxPrefetch);
+    return tokens > prefetch / 2 ? needed : needed + prefetch - tokens;
 }
 
 std::uint32_t QuotaLease::takeLapsed (Timestamp now)
 {
-    dropLapsed (now);
-    return std::exchange (lapsed, 0);
+    dropExpired (now);
+    return std::exchange (expired, 0);
 }
 
 void QuotaLease::granted (Timestamp now, std::uint32_t count, double alonePerSecond)
 {
-    // So that a node whose datagrams are lost now and then has something for these moments.
-    alone.reset();
-    aloneRate = alonePerSecond;
-    heardAt = now;
-    held[now + quotaLeaseTime] += count;
+    // The next call without a keeper starts with a new bucket that holds some tokens already, so
+    // that a node that loses a datagram now and then can still pass requests.
+    fallback.reset();
+    fallbackRate = alonePerSecond;
+    answeredAt = now;
+    held[now + quotaLeaseDuration] += count;
     tokens += count;
 }
 
--- a/src/mesh/quota_lease.h
+++ b/src/mesh/quota_lease.h
@@ -1,14 +1,15 @@
-/** What one node may still pass on of one tenant's requests: what the keeper of its quota granted,
-   or, while no keeper can be reached, the part of the quota that the keeper last said was this
-   node's, or an equal one. Deciding code without I/O.
-
-    A node that passes on many requests asks for some ahead, so that they needn't wait for the
-    keeper; one that passes on few asks for each, since what it would hold unused lapses and others
-    would lack it.
-
-    Each grant lapses by itself. If later grants kept earlier ones alive, a node whose requests are
-    passed and given back, as while no instance can be reached, would save up all that it was
-   granted meanwhile and run it at once.
+/** Decides which requests of one tenant a node may pass on. The node uses the tokens that the
+    quota's keeper granted. While no keeper can be reached, it uses the share of the quota that
+    the keeper last assigned to it, or a share derived from the number of nodes. The class does
+    no I/O.
+
+    A node with many requests asks for tokens in advance, so that requests needn't wait for the
+    keeper. A node with few requests asks for each one: tokens held in advance would mostly
+    expire unused while other nodes lack them.
+
+    Each grant expires separately. If later grants extended earlier ones, a node whose requests
+    are passed and given back, for example while no instance can be reached, would accumulate all
+    that it was granted in that time and run it at once.
 */
 #pragma once
 
@@ -25,66 +26,77 @@
 enum class QuotaStep : std::uint8_t
 {
     pass,
-    wait,  /**< The keeper is to be asked. */
-    refuse /**< The keeper said that there is no room. */
+    wait,  /**< The request waits for an answer from the keeper. */
+    refuse /**< The keeper recently reported that the quota is used up. */
 };
 
 /** Not thread-safe. */
 class QuotaLease
 {
 public:
-    /** A request came. @returns pass when it may go on, and was counted */
+    /** Decides on a new request and counts it towards the arrival rate.
+        @returns pass if a token was taken for it, otherwise wait or refuse
+    */
     QuotaStep take (Timestamp now);
 
-    /** One that waited may go on if a grant has come. @returns pass or wait */
+    /** Takes a granted token for a request that has been waiting.
+        @returns pass or wait
+    */
     QuotaStep takeGranted (Timestamp now);
 
-    /** While no keeper can be reached.
-        @param nodes   among which the quota is divided equally
-        @param chance  drawn from 0 to 1
+    /** Decides on a request while no keeper can be reached.
+        @param nodes   number of nodes that share the quota if no keeper has assigned a share
+        @param chance  random number from 0 to 1
         @returns pass or refuse
     */
     QuotaStep takeAlone (Timestamp now, const Quota& quota, std::size_t nodes, double chance);
 
-    /** When the grant lapses that the latest pass of take() or takeGranted() was counted on. */
-    Timestamp lapseOfLatestPass() const { return latestLapse; }
+    /** @returns when the grant expires whose token take() or takeGranted() used last. */
+    Timestamp lapseOfLatestPass() const { return latestExpiry; }
 
-    /** A request that was passed has not run after all: another may go on in its place, unless the
-        grant has lapsed meanwhile.
-        @param lapsesAt  of its grant; the time's zero for one that was passed without a keeper
+    /** Returns the token of a request that was passed and did not run. Another request may use it
+        until the grant expires.
+        @param expiresAt  expiry of the grant; zero for a request that was passed without a keeper
     */
-    void giveBack (Timestamp now, Timestamp lapsesAt);
+    void giveBack (Timestamp now, Timestamp expiresAt);
 
-    /** How many to ask the keeper for now. @param waiting  requests that wait for the answer */
+    /** @param waiting  number of requests that wait for the keeper's answer
+        @returns the number of tokens to ask the keeper for now
+    */
     std::uint32_t wanted (Timestamp now, std::size_t waiting);
 
-    /** What lapsed unused since it was asked last, to be given back to the keeper. */
+    /** @returns the number of tokens that expired unused since the last call, to be returned to the
+        keeper.
+    */
     std::uint32_t takeLapsed (Timestamp now);
 
-    /** @param alonePerSecond  what this node may pass on while it reaches no keeper */
+    /** Adds the tokens of a keeper's answer.
+        @param alonePerSecond  requests per second to pass on while no keeper can be reached
+    */
     void granted (Timestamp now, std::uint32_t count, double alonePerSecond);
 
-    /** Requests are refused for so long. */
+    /** Refuses requests for the given time, unless tokens are left. */
     void refused (Timestamp now, Milliseconds howLong) { refusedUntil = now + howLong; }
 
+    /** @returns the arrival rate in requests per second, recent ones weighing most. */
     double perSecond (Timestamp now) const;
 
 private:
-    void dropLapsed (Timestamp now);
-    void observe (Timestamp now);
-    double alonePart (Timestamp now, const Quota& quota, std::size_t nodes) const;
-
-    std::map<Timestamp, std::uint32_t> held; /**< Tokens, by when their grants lapse. */
-    std::uint32_t tokens = 0;                /**< All that are held. */
-    std::uint32_t lapsed = 0;                /**< Tokens that the keeper may have back. */
-    Timestamp latestLapse{};
+    void dropExpired (Timestamp now);
+    void countArrival (Timestamp now);
+    double fallbackShare (Timestamp now, const Quota& quota, std::size_t nodes) const;
+
+    std::map<Timestamp, std::uint32_t> held; /**< Tokens, by expiry of their grants. */
+    std::uint32_t tokens = 0;                /**< Sum of the tokens held. */
+    std::uint32_t expired = 0;               /**< Expired tokens not yet returned to the keeper. */
+    Timestamp latestExpiry{};
     Timestamp refusedUntil{};
-    double rate = 0; /**< Requests a second, older ones counting less. */
-    Timestamp ratedAt{};
-    std::optional<TokenBucket> alone; /**< While no keeper answers. */
-    Timestamp lastAlone{};
-    double aloneRate = 0;
-    Timestamp heardAt{}; /**< When a keeper last answered. */
+    double rate = 0; /**< Requests per second at rateUpdatedAt. */
+    Timestamp rateUpdatedAt{};
+    std::optional<TokenBucket> fallback; /**< Bucket in use while no keeper answers. */
+    Timestamp lastFallbackAt{};
+    double fallbackRate = 0; /**< Requests per second that the keeper assigned for this case. */
+    Timestamp answeredAt{};  /**< Time of the keeper's last grant. */
 };
 
 } // namespace copperlead::mesh
--- a/src/mesh/quota_view.cc
+++ b/src/mesh/quota_view.cc
@@ -37,23 +37,23 @@
 
 std::vector<QuotaNode> QuotaView::candidates (std::string_view tenant) const
 {
-    const auto better = [&] (const QuotaNode& a, const QuotaNode& b)
+    const auto ranksHigher = [&] (const QuotaNode& a, const QuotaNode& b)
     { return scoreOf (tenant, a) > scoreOf (tenant, b); };
     std::vector<QuotaNode> best;
 
     for (const auto& [zone, nodes] : zones)
-        best.push_back (*std::min_element (nodes.begin(), nodes.end(), better));
+        best.push_back (*std::min_element (nodes.begin(), nodes.end(), ranksHigher));
 
-    std::sort (best.begin(), best.end(), better);
+    std::sort (best.begin(), best.end(), ranksHigher);
     return best;
 }
 
-std::vector<QuotaNode> QuotaView::candidatesBeforeOwn (std::string_view tenant) const
+std::vector<QuotaNode> QuotaView::candidatesAboveOwn (std::string_view tenant) const
 {
-    auto before = candidates (tenant);
+    auto above = candidates (tenant);
     const auto own = scoreOf (tenant, ownNode);
-    std::erase_if (before, [&] (const QuotaNode& node) { return scoreOf (tenant, node) <= own; });
-    return before;
+    std::erase_if (above, [&] (const QuotaNode& node) { return scoreOf (tenant, node) <= own; });
+    return above;
 }
 
 std::uint64_t digestOf (const std::vector<QuotaNode>& candidates)
--- a/src/mesh/quota_view.h
+++ b/src/mesh/quota_view.h
@@ -1,7 +1,8 @@
-/** Who keeps a tenant's quota, as one node sees the fleet. Rendezvous hashing over the nodes that
-   are listed: the best node of each zone is a candidate, and of these the best is the keeper; the
-    others stand in when it can't be reached, so that each side of a cut has one. Nodes with the
-    same list agree without a word. Immutable.
+/** Determines the keeper of each tenant's quota from one node's view of the fleet, by rendezvous
+    hashing over the listed nodes. The highest-ranked node of each zone is a candidate, and the
+    highest-ranked candidate is the keeper. The other candidates stand in when the keeper can't
+    be reached, so that each side of a network partition has one. Nodes with the same list agree
+    without communication. Objects are immutable.
 */
 #pragma once
 
@@ -30,14 +31,14 @@
 public:
     QuotaView() = default;
 
-    /** @param nodesToUse  each once, in any order; this one may be missing */
+    /** @param nodesToUse  listed nodes, each once and in any order; may lack `ownNode` */
     QuotaView (std::vector<QuotaNode> nodesToUse, QuotaNode ownNode);
 
-    /** The best node of each zone for a tenant, the keeper first. */
+    /** @returns the highest-ranked node of each zone for a tenant, the keeper first. */
     std::vector<QuotaNode> candidates (std::string_view tenant) const;
 
-    /** The candidates that go before this node. */
-    std::vector<QuotaNode> candidatesBeforeOwn (std::string_view tenant) const;
+    /** @returns the candidates that rank above this node. */
+    std::vector<QuotaNode> candidatesAboveOwn (std::string_view tenant) const;
 
     /** @returns the zone of a listed node; nullptr when it isn't listed */
     const std::string* zoneOf (const std::string& ip) const;
@@ -53,10 +54,10 @@
     std::unordered_map<std::string, std::string> zoneByIp;
 };
 
-/** The same for the same candidates in the same order. */
+/** @returns a hash of the candidates' IPs in their order. */
 std::uint64_t digestOf (const std::vector<QuotaNode>& candidates);
 
-/** The nodes beside listed instances. */
+/** @returns the nodes of the listed instances, except instances that are leaving. */
 std::vector<QuotaNode> quotaNodesOf (const DirectorySnapshot& directory);
 
 } // namespace copperlead::mesh
--- a/src/mesh/token_bucket.cc
+++ b/src/mesh/token_bucket.cc
@@ -6,7 +6,7 @@
 namespace copperlead::mesh
 {
 
-void TokenBucket::fill (Timestamp now, double perSecond, double capacity)
+void TokenBucket::refill (Timestamp now, double perSecond, double capacity)
 {
     const auto seconds = std::chrono::duration<double> (now - filledAt).count();
     tokens = std::min (tokens + std::max (seconds, 0.0) * perSecond, capacity);
--- a/src/mesh/token_bucket.h
+++ b/src/mesh/token_bucket.h
@@ -1,6 +1,4 @@
-/** Tokens that come at a rate and are kept up to a capacity. The rate and the capacity may change
-   at any time. Deciding code without I/O.
-*/
+/** A token bucket whose rate and capacity may change at any time. The class does no I/O. */
 #pragma once
 
 #include <cstdint>
@@ -14,19 +12,24 @@
 class TokenBucket
 {
 public:
-    /** @param level  of tokens to begin with */
-    TokenBucket (Timestamp now, double level)
-        : tokens (level)
+    /** @param initialLevel  tokens held at the start */
+    TokenBucket (Timestamp now, double initialLevel)
+        : tokens (initialLevel)
         , filledAt (now)
     {
     }
 
-    /** Adds what has come since the last call. */
-    void fill (Timestamp now, double perSecond, double capacity);
+    /** Adds the tokens that have accrued since the last call, up to the capacity. */
+    void refill (Timestamp now, double perSecond, double capacity);
 
-    /** Takes up to that many whole tokens. @returns how many there were */
+    /** Takes up to `wanted` whole tokens.
+        @returns the number of tokens taken
+    */
     std::uint32_t take (std::uint32_t wanted);
+
+    /** Returns unused tokens. Tokens above the capacity are discarded; the level never falls. */
     void giveBack (double count, double capacity);
+
     double level() const { return tokens; }
 
 private:
--- a/tests/mesh/quota_fleet.h
+++ b/tests/mesh/quota_fleet.h
@@ -1,4 +1,4 @@
-/** A fleet of nodes that hold one tenant to its quota, in virtual time. */
+/** A simulated fleet of nodes that enforce the quota of one tenant, in virtual time. */
 #pragma once
 
 #include <algorithm>
@@ -16,10 +16,11 @@
 namespace copperlead::mesh::test
 {
 
-constexpr int nodeCount = 40, zoneCount = 4; /**< Unless a test says otherwise. */
+/** Default size of the fleet. */
+constexpr int nodeCount = 40, zoneCount = 4;
 
-/** Nodes that pass requests of one tenant, in virtual time, over a network that loses, delays and
-    doubles datagrams.
+/** Nodes that pass requests of one tenant and communicate over a simulated network that loses,
+    delays and duplicates datagrams.
 */
 class QuotaFleet
 {
@@ -29,9 +30,9 @@
     {
     }
 
-    QuotaFleet (std::uint64_t seed, const Quota& quotaToKeep, int size, int zones)
+    QuotaFleet (std::uint64_t seed, const Quota& quotaToEnforce, int size, int zones)
         : random (seed)
-        , quota (quotaToKeep)
+        , quota (quotaToEnforce)
     {
         for (int n = 0; n < size; ++n)
             places.push_back ({ "10.0.0." + std::to_string (n), "z" + std::to_string (n % zones) });
@@ -44,19 +45,19 @@
             start (n);
     }
 
-    /** Starts a node, or starts it again: it knows nothing of what was before. */
+    /** Starts or restarts a node. A restarted node has no state from before. */
     void start (int n)
     {
         startUnconfigured (n);
         configure (n);
     }
 
-    /** It knows who else there is, and not yet whose requests are limited. */
+    /** Starts a node that knows the directory and has no routes and no tenants yet. */
     void startUnconfigured (int n)
     {
         TenantQuotaHooks hooks;
         hooks.send = [this, n] (const std::string& ip, const std::string& bytes)
-        { post (n, ip, bytes); };
+        { send (n, ip, bytes); };
         hooks.alone = [] (const QuotaSolitude&) {};
         hooks.used = [] (const std::string&, const QuotaUse&) {};
         hooks.kept = [] (const std::string&, const QuotaKeeping&) {};
@@ -66,7 +67,7 @@
 
     void configure (int n) { nodes[n]->setRoutes (routes()); }
 
-    /** It runs a version that knows nothing of the tenant. */
+    /** Gives a node a configuration that lacks the tenant. */
     void configureWithoutTenant (int n)
     {
         nodes[n]->setRoutes (std::make_shared<const RouteTable> (
@@ -75,7 +76,7 @@
 
     void kill (int n) { nodes[n].reset(); }
 
-    /** The store's list as the node knows it lacks some. */
+    /** Gives a node a directory that lacks some nodes. */
     void listWithout (int n, const std::set<int>& missing)
     {
         nodes[n]->setDirectory (*directory (missing));
@@ -90,11 +91,11 @@
                 node->setRoutes (routes());
     }
 
-    /** Plays on while each of the nodes `from` to `until` gets requests. */
+    /** Advances the virtual time; each node from `from` to before `until` receives requests. */
     void play (std::int64_t howLongMs, double perSecondEach, int from = 0, int until = nodeCount)
     {
         const auto size = static_cast<int> (nodes.size());
-        std::bernoulli_distribution comes (perSecondEach / 1000);
+        std::bernoulli_distribution arrives (perSecondEach / 1000);
 
         for (const auto end = nowMs + howLongMs; nowMs < end; ++nowMs)
         {
@@ -102,23 +103,28 @@
 
             for (int n = 0; n < size; ++n)
             {
-                if (! isAwake (n))
+                if (! isRunning (n))
                     continue;
 
                 if (nodes[n]->nextDue() <= at (nowMs))
                     nodes[n]->advance (at (nowMs));
 
-                if (n >= from && n < until && comes (random))
+                if (n >= from && n < until && arrives (random))
                     request (n);
             }
         }
     }
 
+    /** @returns the index of the node that ranks first for the tenant. */
     int keeper() const { return indexOf (QuotaView (places, places[0]).candidates ("a")[0].ip); }
+
+    /** @returns the requests that the quota permits within a window of five seconds. */
     double allowed() const { return 5 * quota.requestsPerSecond + quota.burst; }
-    double bound() const { return allowed() + QuotaBounds{}.excess (quota); }
 
-    /** The most that was passed in any window of five seconds. */
+    /** @returns the most requests that may pass within a window, permitted excess included. */
+    double bound() const { return allowed() + QuotaBounds{}.permittedExcess (quota); }
+
+    /** @returns the most requests that were passed in any window of five seconds. */
     double most() const
     {
         std::size_t most = 0, first = 0;
@@ -134,6 +140,7 @@
         return static_cast<double> (most);
     }
 
+    /** @returns the share of all requests that were refused. */
     double refusedShare() const
     {
         return refused / std::max (1.0, refused + static_cast<double> (passedAt.size()));
@@ -145,12 +152,12 @@
         refused = 0;
     }
 
-    double lossShare = 0;
-    bool instancesAreDown = false;  /**< What is passed doesn't run, and is given back at once. */
-    std::vector<bool> cutOff;       /**< Nodes that reach no other. */
-    std::set<std::string> cutZones; /**< Zones that reach no other. */
-    std::vector<std::int64_t> sleepsUntil; /**< Nodes that are stopped, and wake late. */
-    std::vector<QuotaNode> places;
+    double lossShare = 0;           /**< Share of the datagrams that are lost. */
+    bool instancesAreDown = false;  /**< Whether passed requests fail and are given back at once. */
+    std::vector<bool> cutOff;       /**< Whether a node reaches no other node, by index. */
+    std::set<std::string> cutZones; /**< Zones whose nodes reach no other zone. */
+    std::vector<std::int64_t> sleepsUntil; /**< End of each node's pause, by index. */
+    std::vector<QuotaNode> places;         /**< All nodes, by index. */
     std::mt19937_64 random;
     std::int64_t nowMs = 0;
 
@@ -161,7 +168,7 @@
         std::string bytes;
     };
 
-    bool isAwake (int n) const { return nodes[n] != nullptr && sleepsUntil[n] <= nowMs; }
+    bool isRunning (int n) const { return nodes[n] != nullptr && sleepsUntil[n] <= nowMs; }
 
     int indexOf (const std::string& ip) const { return std::stoi (ip.substr (7)); }
 
@@ -201,7 +208,7 @@
                 (! cutZones.contains (places[a].zone) && ! cutZones.contains (places[b].zone)));
     }
 
-    void post (int from, const std::string& ip, const std::string& bytes)
+    void send (int from, const std::string& ip, const std::string& bytes)
     {
         std::uniform_real_distribution<double> share (0, 1);
         std::uniform_int_distribution<std::int64_t> delay (1, 6);
@@ -210,21 +217,21 @@
         if (share (random) < lossShare || ! reaches (from, to))
             return;
 
-        under.emplace (nowMs + delay (random), Datagram{ from, to, bytes });
+        inFlight.emplace (nowMs + delay (random), Datagram{ from, to, bytes });
 
         if (share (random) < lossShare / 2)
-            under.emplace (nowMs + 3 * delay (random), Datagram{ from, to, bytes });
+            inFlight.emplace (nowMs + 3 * delay (random), Datagram{ from, to, bytes });
     }
 
     void deliver()
     {
-        while (! under.empty() && under.begin()->first <= nowMs)
+        while (! inFlight.empty() && inFlight.begin()->first <= nowMs)
         {
-            const auto datagram = under.extract (under.begin()).mapped();
+            const auto datagram = inFlight.extract (inFlight.begin()).mapped();
 
-            // What comes to a sleeper waits for it.
+            // A datagram to a paused node is delivered when the pause ends.
             if (sleepsUntil[datagram.to] > nowMs)
-                under.emplace (sleepsUntil[datagram.to], datagram);
+                inFlight.emplace (sleepsUntil[datagram.to], datagram);
             else if (nodes[datagram.to] != nullptr)
                 nodes[datagram.to]->receive (at (nowMs), places[datagram.from].ip, datagram.bytes);
         }
@@ -247,7 +254,7 @@
 
     Quota quota;
     std::vector<std::unique_ptr<TenantQuotas>> nodes;
-    std::multimap<std::int64_t, Datagram> under; /**< Way, by when they arrive. */
+    std::multimap<std::int64_t, Datagram> inFlight; /**< Datagrams by time of arrival. */
     std::vector<std::int64_t> passedAt;
     double refused = 0;
 };
--- a/tests/mesh/quota_test.cc
+++ b/tests/mesh/quota_test.cc
@@ -1,4 +1,4 @@
-/** The parts of quotas, one by one. */
+/** Unit tests of the classes that enforce quotas. */
 #include <gtest/gtest.h>
 
 #include "mesh/answer_time.h"
@@ -14,7 +14,7 @@
 namespace
 {
 
-/** `count` nodes, dealt out to four zones. */
+/** @returns `count` nodes, spread evenly over four zones. */
 std::vector<QuotaNode> makeNodes (int count)
 {
     std::vector<QuotaNode> nodes;
@@ -25,7 +25,7 @@
     return nodes;
 }
 
-TEST (QuotaView, AllNodesRankTheSameCandidatesOneOfEachZone)
+TEST (QuotaView, AllNodesAgreeOnOneCandidatePerZone)
 {
     const auto nodes = makeNodes (12);
     const auto candidates = QuotaView (nodes, nodes[0]).candidates ("a");
@@ -41,24 +41,24 @@
     {
         const QuotaView view (nodes, node);
         EXPECT_EQ (view.candidates ("a"), candidates);
-        EXPECT_EQ (view.candidatesBeforeOwn ("a").empty(), node == candidates[0]);
+        EXPECT_EQ (view.candidatesAboveOwn ("a").empty(), node == candidates[0]);
     }
 }
 
-TEST (QuotaView, TenantsAreSpreadOverTheNodesAndFewMoveWithANode)
+TEST (QuotaView, SpreadsTenantsEvenlyAndMovesFewWhenANodeLeaves)
 {
     auto nodes = makeNodes (40);
     std::map<std::string, QuotaNode> before;
-    std::map<std::string, int> kept;
+    std::map<std::string, int> tenantCounts;
 
     for (int tenant = 0; tenant < 400; ++tenant)
     {
         const auto name = "t" + std::to_string (tenant);
         before[name] = QuotaView (nodes, nodes[0]).candidates (name)[0];
-        ++kept[before[name].ip];
+        ++tenantCounts[before[name].ip];
     }
 
-    for (const auto& [ip, count] : kept)
+    for (const auto& [ip, count] : tenantCounts)
         EXPECT_LT (count, 30) << ip;
 
     const auto removed = nodes.back();
@@ -73,7 +73,7 @@
     }
 }
 
-/** The keeper of tenant "a" among twelve nodes. */
+/** The first two candidates for tenant "a" among twelve nodes. */
 class Keeping : public ::testing::Test
 {
 protected:
@@ -86,8 +86,8 @@
         second.setView (QuotaView (nodes, order[1]));
     }
 
-    /** All nodes but those of the zones answer the keeper's pings. */
-    void hearAll (QuotaKeeper& keeper, Timestamp now, const std::set<std::string>& silent = {})
+    /** Simulates answers to the keeper's pings from all nodes except those of the silent zones. */
+    void answerPings (QuotaKeeper& keeper, Timestamp now, const std::set<std::string>& silent = {})
     {
         for (const auto& node : nodes)
             if (! silent.contains (node.zone))
@@ -97,7 +97,9 @@
             }
     }
 
-    /** Asks for all there is, every 50 ms. @returns how many were granted */
+    /** Asks for all available tokens every 50 ms.
+        @returns the number of tokens granted
+    */
     std::uint32_t drain (QuotaKeeper& keeper, std::int64_t fromMs, std::int64_t untilMs,
                          const std::set<std::string>& silent = {})
     {
@@ -105,7 +107,7 @@
 
         for (auto ms = fromMs; ms < untilMs; ms += 50)
         {
-            hearAll (keeper, at (ms), silent);
+            answerPings (keeper, at (ms), silent);
             granted += keeper.ask (at (ms), tenant, { 1, "a", 1000, 0 }, "x").granted;
         }
 
@@ -118,46 +120,46 @@
     QuotaKeeper first{ {}, 1 }, second{ {}, 2 };
 };
 
-TEST_F (Keeping, GrantsWhatTheQuotaAllowsInAWindowAndLittleAtFirst)
+TEST_F (Keeping, GrantsTheQuotaWithinAWindowAndFewTokensInitially)
 {
     const auto granted = drain (first, 0, 5000);
     EXPECT_GE (granted, 505U);
-    EXPECT_LE (granted, 525U); // 5 x 100 + 20, and what it begins with.
+    EXPECT_LE (granted, 525U); // The limit is 5 x 100 + 20 and the tokens of a new bucket.
 }
 
-TEST_F (Keeping, KeepsWhatWasNotAskedForAsABurst)
+TEST_F (Keeping, AccumulatesUnusedTokensForABurst)
 {
     drain (first, 0, 5000);
-    // One a second: nearly nothing is used.
+    // The node asks for two tokens per second, so that nearly nothing is used.
     for (int ms = 5000; ms < 9000; ms += 500)
     {
-        hearAll (first, at (ms));
+        answerPings (first, at (ms));
         first.ask (at (ms), tenant, { 1, "a", 1, 0 }, "x");
     }
 
-    hearAll (first, at (9000));
+    answerPings (first, at (9000));
     const auto burst = first.ask (at (9000), tenant, { 1, "a", 1000, 0 }, "x");
-    const auto most = 0.5 * 20 + 0.15 * QuotaBounds{}.excess (tenant.quota);
-    EXPECT_NEAR (burst.granted, most, 2);
+    const auto expected = 0.5 * 20 + 0.15 * QuotaBounds{}.permittedExcess (tenant.quota);
+    EXPECT_NEAR (burst.granted, expected, 2);
     EXPECT_GT (burst.retryAfterMs, 0U);
 }
 
-TEST_F (Keeping, GrantsInProportionToWhatItReaches)
+TEST_F (Keeping, GrantsInProportionToTheReachableNodes)
 {
     drain (first, 0, 2000);
     std::set<std::string> others{ "z0", "z1", "z2", "z3" };
     others.erase (order[0].zone);
-    drain (first, 2000, 3000, others); // Until what it heard is too old.
+    drain (first, 2000, 3000, others); // The earlier answers expire.
     EXPECT_NEAR (drain (first, 3000, 5000, others), 52, 3);
 }
 
-TEST_F (Keeping, GrantsNothingForNodesThatTakeOthersForCandidates)
+TEST_F (Keeping, GrantsNothingForNodesThatKnowOtherCandidates)
 {
     drain (first, 0, 2000);
 
     for (auto ms = 2000; ms < 2500; ms += 50)
     {
-        hearAll (first, at (ms));
+        answerPings (first, at (ms));
 
         for (const auto& node : nodes)
             if (node.zone != order[0].zone)
@@ -166,10 +168,11 @@
         first.ask (at (ms), tenant, { 1, "a", 1000, 0 }, "x");
     }
 
-    EXPECT_NEAR (first.reachableShare (at (2500), "a"), 3.0 / 12, 1e-9) << "its own zone";
+    EXPECT_NEAR (first.reachableShare (at (2500), "a"), 3.0 / 12, 1e-9)
+        << "only the nodes of the own zone count";
 }
 
-TEST_F (Keeping, AStandInGrantsNothingWhileTheKeeperLives)
+TEST_F (Keeping, AStandInRedirectsWhileTheKeeperIsAlive)
 {
     second.heard (at (0), order[0].ip);
     const auto grant = second.ask (at (10), tenant, { 7, "a", 5, 0 }, "x");
@@ -178,7 +181,7 @@
     EXPECT_EQ (grant.number, 7U);
 }
 
-TEST_F (Keeping, AStandInWaitsForTheKeepersAnswerBeforeItGrants)
+TEST_F (Keeping, AStandInWaitsForTheKeeperToAnswerBeforeItGrants)
 {
     EXPECT_EQ (second.ask (at (0), tenant, { 1, "a", 5, 0 }, "x").granted, 0U);
     const auto pinged = second.pingsDue (at (1));
@@ -187,29 +190,29 @@
     EXPECT_GT (second.ask (at (150), tenant, { 1, "a", 5, 0 }, "x").granted, 0U);
 }
 
-TEST_F (Keeping, ASleeperWakesWithLittle)
+TEST_F (Keeping, AKeeperStartsWithFewTokensAfterAPause)
 {
     drain (first, 0, 5000);
-    // It was stopped for four seconds and hasn't heard anybody yet.
+    // The keeper was paused for four seconds and has received no datagram since.
     const auto grant = first.ask (at (9000), tenant, { 1, "a", 1000, 0 }, "x");
     EXPECT_LE (grant.granted, 5U);
     EXPECT_NEAR (first.reachableShare (at (9000), "a"), 1.0 / 12, 1e-9) << "itself";
 }
 
-TEST_F (Keeping, TakesBackWhatLapsedUnused)
+TEST_F (Keeping, GrantsReturnedTokensAgain)
 {
     drain (first, 0, 1000);
-    hearAll (first, at (1000));
+    answerPings (first, at (1000));
     EXPECT_EQ (first.ask (at (1000), tenant, { 1, "a", 12, 8 }, "x").granted, 12U);
 }
 
-TEST_F (Keeping, TellsEachNodeItsPartOfTheFlow)
+TEST_F (Keeping, AssignsFallbackRatesInProportionToGrants)
 {
     QuotaGrant heavy, light;
 
     for (int ms = 0; ms < 3000; ms += 100)
     {
-        hearAll (first, at (ms));
+        answerPings (first, at (ms));
         heavy = first.ask (at (ms), tenant, { 1, "a", 3, 0 }, "heavy");
         light = first.ask (at (ms), tenant, { 1, "a", 1, 0 }, "light");
     }
@@ -218,11 +221,11 @@
     EXPECT_LE (heavy.alonePerSecond + light.alonePerSecond, 100);
 }
 
-TEST (QuotaLease, PassesWhatWasGrantedUntilItLapses)
+TEST (QuotaLease, PassesGrantedRequestsUntilTheGrantExpires)
 {
     QuotaLease lease;
     EXPECT_EQ (lease.take (at (0)), QuotaStep::wait);
-    EXPECT_EQ (lease.wanted (at (0), 1), 1U) << "few requests: one by one";
+    EXPECT_EQ (lease.wanted (at (0), 1), 1U) << "asks for single requests while the rate is low";
     lease.granted (at (5), 3, 1);
     EXPECT_EQ (lease.takeGranted (at (5)), QuotaStep::pass);
     EXPECT_EQ (lease.take (at (10)), QuotaStep::pass);
@@ -231,7 +234,7 @@
     EXPECT_EQ (lease.takeLapsed (at (900)), 0U);
 }
 
-TEST (QuotaLease, AsksAheadWhereRequestsAreMany)
+TEST (QuotaLease, AsksInAdvanceWhenTheRateIsHigh)
 {
     QuotaLease lease;
 
@@ -245,7 +248,7 @@
     EXPECT_NEAR (lease.wanted (at (2000), 0), 12, 3);
 }
 
-TEST (QuotaLease, RefusesAtOnceWhileTheKeeperSaidThatThereIsNoRoom)
+TEST (QuotaLease, RefusesAtOnceForTheRetryDelay)
 {
     QuotaLease lease;
     lease.refused (at (0), Milliseconds (100));
@@ -253,29 +256,30 @@
     EXPECT_EQ (lease.take (at (101)), QuotaStep::wait);
 }
 
-TEST (QuotaLease, GetsBackWhatDidNotRun)
+TEST (QuotaLease, ReusesTheTokensOfRequestsThatDidNotRun)
 {
     QuotaLease lease;
     lease.granted (at (0), 1, 1);
     EXPECT_EQ (lease.take (at (0)), QuotaStep::pass);
     lease.giveBack (at (10), lease.lapseOfLatestPass());
     EXPECT_EQ (lease.take (at (20)), QuotaStep::pass);
-    lease.giveBack (at (2000), lease.lapseOfLatestPass()); // Lapsed: others may have it by now.
+    // The grant has expired, so that another node may hold the token.
+    lease.giveBack (at (2000), lease.lapseOfLatestPass());
     EXPECT_EQ (lease.take (at (2000)), QuotaStep::wait);
 }
 
-TEST (QuotaLease, LaterGrantsDoNotKeepEarlierOnesAlive)
+TEST (QuotaLease, LaterGrantsDoNotExtendEarlierOnes)
 {
     QuotaLease lease;
     lease.granted (at (0), 5, 1);
     lease.granted (at (700), 1, 1);
-    EXPECT_EQ (lease.take (at (700)), QuotaStep::pass) << "of the first grant";
-    EXPECT_EQ (lease.take (at (900)), QuotaStep::pass) << "of the second";
+    EXPECT_EQ (lease.take (at (700)), QuotaStep::pass) << "uses the first grant";
+    EXPECT_EQ (lease.take (at (900)), QuotaStep::pass) << "uses the second grant";
     EXPECT_EQ (lease.take (at (900)), QuotaStep::wait);
     EXPECT_EQ (lease.takeLapsed (at (900)), 4U);
 }
 
-TEST (QuotaLease, WhatWasPassedWithoutAKeeperIsNoGrantWhenItComesBack)
+TEST (QuotaLease, ARequestPassedWithoutAKeeperReturnsNoToken)
 {
     QuotaLease lease;
     lease.granted (at (0), 1, 30);
@@ -285,8 +289,8 @@
     EXPECT_EQ (lease.takeGranted (at (520)), QuotaStep::wait);
 }
 
-/** @returns how many of a hundred requests a second pass in five seconds alone */
-int passedAlone (QuotaLease& lease, std::int64_t fromMs, std::size_t nodes)
+/** @returns how many requests pass in five seconds without a keeper when 100 arrive per second. */
+int passedWithoutKeeper (QuotaLease& lease, std::int64_t fromMs, std::size_t nodes)
 {
     int passed = 0;
 
@@ -296,17 +300,17 @@
     return passed;
 }
 
-TEST (QuotaLease, AloneItPassesItsPartOrAnEqualOne)
+TEST (QuotaLease, UsesItsAssignedOrAnEqualShareWithoutAKeeper)
 {
-    QuotaLease unheard, heard, forgotten;
-    heard.granted (at (0), 1, 30);
-    forgotten.granted (at (0), 1, 30);
-    EXPECT_NEAR (passedAlone (unheard, 1000, 10), 25, 2) << "begins with nothing";
-    EXPECT_NEAR (passedAlone (heard, 1000, 10), 165, 5);
-    EXPECT_NEAR (passedAlone (forgotten, 16'000, 10), 30, 10);
+    QuotaLease neverAnswered, answered, outdated;
+    answered.granted (at (0), 1, 30);
+    outdated.granted (at (0), 1, 30);
+    EXPECT_NEAR (passedWithoutKeeper (neverAnswered, 1000, 10), 25, 2) << "no tokens at the start";
+    EXPECT_NEAR (passedWithoutKeeper (answered, 1000, 10), 165, 5);
+    EXPECT_NEAR (passedWithoutKeeper (outdated, 16'000, 10), 30, 10);
 }
 
-TEST (KeeperChoice, LeavesOutTheSilentForAWhile)
+TEST (KeeperChoice, ExcludesUnresponsiveNodesForAWhile)
 {
     const std::vector<QuotaNode> candidates{ { "1", "z1" }, { "2", "z2" } };
     KeeperChoice choice;
@@ -321,7 +325,7 @@
     EXPECT_EQ (choice.next (at (601), candidates, {})->ip, "1");
 }
 
-TEST (AnswerTime, FollowsTheWayAndDoublesWhenNothingComes)
+TEST (AnswerTime, FollowsTheRoundTripTimeAndDoublesOnTimeouts)
 {
     AnswerTime time;
     EXPECT_EQ (time.current(), Milliseconds (40));
@@ -339,7 +343,7 @@
     EXPECT_LT (time.current(), Milliseconds (80));
 }
 
-TEST (QuotaMessage, ComesBackAsItWasAndDamageIsRefused)
+TEST (QuotaMessage, RoundTripsAndRejectsInvalidDatagrams)
 {
     const auto ask = decodeQuotaAsk (encode (QuotaAsk{ 5, "a", 7, 2, { 20, 10 } }));
     ASSERT_TRUE (ask);
@@ -362,7 +366,8 @@
     EXPECT_FALSE (decodeQuotaGrant (bytes));
     EXPECT_FALSE (decodeQuotaPing (bytes));
     EXPECT_FALSE (decodeQuotaAsk (encode (QuotaAsk{ 5, "a", 2'000'000, 0, { 20, 10 } })));
-    EXPECT_FALSE (decodeQuotaAsk (encode (QuotaAsk{ 5, "a", 7, 2, {} }))) << "asks without a limit";
+    EXPECT_FALSE (decodeQuotaAsk (encode (QuotaAsk{ 5, "a", 7, 2, {} })))
+        << "a quota without a rate";
     EXPECT_FALSE (decodeQuotaGrant (encode (QuotaGrant{ 5, 1, 0, "", -1 })));
 
     for (std::size_t length = 0; length < bytes.size(); ++length)
