--- a/tests/mesh/quota_faults_test.cc
+++ b/tests/mesh/quota_faults_test.cc
@@ -1,4 +1,4 @@
-/** Quotas over all nodes while keepers pause in series and nodes know different lists. */
+/** Tests of fleet-wide quotas while keepers pause repeatedly and nodes' directories differ. */
 #include <gtest/gtest.h>
 
 #include "tests/mesh/quota_fleet.h"
@@ -8,42 +8,44 @@
 namespace
 {
 
-/** The tenant that the soak presses: a few nodes, far more than the limit. */
+/** A tenant on a small fleet that receives far more requests than its quota, as in the soak test.
+ */
 constexpr Quota smallQuota{ 20, 10 };
 constexpr int fewNodes = 6, fewZones = 2;
-constexpr double pressed = 25;
+constexpr double overloadPerSecond = 25; /**< Requests per second at each node. */
 
-TEST (QuotaFaults, AKeeperThatPausesAgainAndAgain)
+TEST (QuotaFaults, StaysWithinTheLimitWhileTheKeeperPausesRepeatedly)
 {
     for (std::uint64_t seed = 1; seed <= 8; ++seed)
     {
         QuotaFleet fleet (seed, smallQuota, fewNodes, fewZones);
-        fleet.play (3000, pressed);
+        fleet.play (3000, overloadPerSecond);
 
         for (int n = 0; n < 6; ++n)
         {
             fleet.sleepsUntil[fleet.keeper()] = fleet.nowMs + 1400;
-            fleet.play (1900, pressed);
+            fleet.play (1900, overloadPerSecond);
         }
 
         EXPECT_LE (fleet.most(), fleet.bound()) << "seed " << seed;
     }
 }
 
-/** 158 requests ran in a window where 157 are allowed: for two seconds no instance could be
-   reached, each request that passed was given back, and all that was granted meanwhile ran in the
-   first second after it.
+/** Guards against nodes that accumulate grants while no instance can be reached. Each request that
+    passes is then given back. In one run no instance could be reached for two seconds, and all that
+    was granted in that time ran in the first second after it: 158 requests in a window that allows
+    157.
 */
 TEST (QuotaFaults, WhatIsGrantedWhileNoInstanceCanBeReachedIsNotSavedUp)
 {
     for (std::uint64_t seed = 1; seed <= 8; ++seed)
     {
         QuotaFleet fleet (seed, smallQuota, fewNodes, fewZones);
-        fleet.play (3000, pressed);
+        fleet.play (3000, overloadPerSecond);
         fleet.instancesAreDown = true;
-        fleet.play (4000, 2 * pressed);
+        fleet.play (4000, 2 * overloadPerSecond);
         fleet.instancesAreDown = false;
-        fleet.play (6000, pressed);
+        fleet.play (6000, overloadPerSecond);
         EXPECT_LE (fleet.most(), fleet.bound()) << "seed " << seed;
     }
 }
@@ -53,13 +55,13 @@
     for (std::uint64_t seed = 1; seed <= 8; ++seed)
     {
         QuotaFleet fleet (seed, smallQuota, fewNodes, fewZones);
-        fleet.play (3000, pressed);
+        fleet.play (3000, overloadPerSecond);
 
         for (int n = 0; n < fewNodes; ++n)
             if (n % fewZones == 0)
                 fleet.listWithout (n, { fleet.keeper() });
 
-        fleet.play (6000, pressed);
+        fleet.play (6000, overloadPerSecond);
         EXPECT_LE (fleet.most(), fleet.bound()) << "seed " << seed;
     }
 }
@@ -70,7 +72,7 @@
     for (std::uint64_t seed = 1; seed <= 8; ++seed)
     {
         QuotaFleet fleet (seed, smallQuota, fewNodes, fewZones);
-        fleet.play (3000, pressed);
+        fleet.play (3000, overloadPerSecond);
         const auto keeper = fleet.keeper();
 
         for (int round = 0; round < 6; ++round)
@@ -81,7 +83,7 @@
             for (int n = 0; n < fewNodes; ++n)
                 fleet.listWithout (n, unlisted);
 
-            fleet.play (1200, pressed);
+            fleet.play (1200, overloadPerSecond);
         }
 
         EXPECT_LE (fleet.most(), fleet.bound()) << "seed " << seed;
--- a/tests/mesh/tenant_cost_test.cc
+++ b/tests/mesh/tenant_cost_test.cc
@@ -1,4 +1,6 @@
-/** What keys and quotas cost a request: printed, with a bound that only a mistake exceeds. */
+/** Measures and prints the time that the key look-up and the quota add to a request. The bound
+    is loose: only a defect exceeds it.
+*/
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -13,21 +15,23 @@
 {
 
 constexpr int rounds = 200'000;
-constexpr double mostMicroseconds = 10; // A busy machine may well take ten times the usual.
+// Bound for both operations together. A busy machine may take ten times as long as an idle one.
+constexpr double maxMicroseconds = 10;
 
 template <typename Work>
 double microsecondsOf (Work work)
 {
-    const auto begun = std::chrono::steady_clock::now();
+    const auto startedAt = std::chrono::steady_clock::now();
 
     for (int round = 0; round < rounds; ++round)
         work (round);
 
-    const std::chrono::duration<double, std::micro> took = std::chrono::steady_clock::now() - begun;
+    const std::chrono::duration<double, std::micro> took =
+        std::chrono::steady_clock::now() - startedAt;
     return took.count() / rounds;
 }
 
-TEST (TenantCost, OfAKeyAndOfAQuota)
+TEST (TenantCost, KeyLookUpAndQuotaStayCheap)
 {
     std::vector<Tenant> tenants (75);
 
@@ -40,14 +44,14 @@
 
     const TenantTable table (tenants);
     std::size_t found = 0;
-    const auto key = microsecondsOf (
+    const auto keyMicroseconds = microsecondsOf (
         [&] (int round)
         { found += table.find ("second-key-" + std::to_string (round % 75)) != nullptr ? 1 : 0; });
     EXPECT_EQ (found, static_cast<std::size_t> (rounds));
 
     QuotaLease lease;
     std::size_t passed = 0;
-    const auto quota = microsecondsOf (
+    const auto quotaMicroseconds = microsecondsOf (
         [&] (int round)
         {
             lease.granted (at (round / 100), 1, 1);
@@ -55,8 +59,9 @@
         });
     EXPECT_EQ (passed, static_cast<std::size_t> (rounds));
 
-    std::cout << "a key " << key << " us, a grant and a request of it " << quota << " us\n";
-    EXPECT_LT (key + quota, mostMicroseconds);
+    std::cout << "a key " << keyMicroseconds << " us, a quota grant and its request "
+              << quotaMicroseconds << " us\n";
+    EXPECT_LT (keyMicroseconds + quotaMicroseconds, maxMicroseconds);
 }
 
 } // namespace
