--- a/src/mesh/credential.cc
+++ b/src/mesh/credential.cc
@@ -9,11 +9,11 @@
 
 CredentialDigest digestOf (std::string_view credential)
 {
-    std::array<unsigned char, SHA256_DIGEST_LENGTH> whole{};
+    std::array<unsigned char, SHA256_DIGEST_LENGTH> hash{};
     SHA256 (reinterpret_cast<const unsigned char*> (credential.data()), credential.size(),
-            whole.data());
+            hash.data());
     CredentialDigest digest;
-    std::copy_n (whole.begin(), digest.size(), digest.begin());
+    std::copy_n (hash.begin(), digest.size(), digest.begin());
     return digest;
 }
 
--- a/src/mesh/credential.h
+++ b/src/mesh/credential.h
@@ -1,5 +1,5 @@
-/** Keys by which clients show whose requests theirs are. A key is a secret: only its digest is kept
-    and passed between nodes, so that neither memory dumps, logs nor messages give it away.
+/** Keys that identify the tenant of a client's requests. A key is a secret, so only its digest is
+    stored and sent between nodes; memory dumps, logs and messages don't disclose the key.
 */
 #pragma once
 
@@ -12,12 +12,12 @@
 namespace copperlead::mesh
 {
 
-/** The first half of a key's SHA-256. */
+/** The first 16 bytes of a key's SHA-256 hash. */
 using CredentialDigest = std::array<std::uint8_t, 16>;
 
 CredentialDigest digestOf (std::string_view credential);
 
-/** Digests are spread evenly already. */
+/** Uses the leading bytes of the digest, which are already uniformly distributed. */
 struct CredentialDigestHash
 {
     std::size_t operator() (const CredentialDigest& digest) const
--- a/src/mesh/credential_check.cc
+++ b/src/mesh/credential_check.cc
@@ -7,7 +7,8 @@
 namespace
 {
 
-constexpr int routePriorities = 100; // Distinguished within one priority of tenants.
+// Number of route priorities that are distinguished within one tenant priority.
+constexpr int routePriorityLevels = 100;
 
 } // namespace
 
@@ -18,7 +19,7 @@
     if (tenants.empty())
         return {};
 
-    const auto youngerThan = [&] (Milliseconds age)
+    const auto confirmedWithin = [&] (Milliseconds age)
     { return facts.wordAgeMs && *facts.wordAgeMs <= static_cast<double> (age.count()); };
 
     if (facts.credential.empty())
@@ -26,8 +27,8 @@
         if (facts.route.isPublic || facts.fromInstance)
             return {};
 
-        return { youngerThan (settings.freshWord) ? CredentialVerdict::missing
-                                                  : CredentialVerdict::wordTooOld,
+        return { confirmedWithin (settings.freshWord) ? CredentialVerdict::missing
+                                                      : CredentialVerdict::wordTooOld,
                  nullptr };
     }
 
@@ -38,12 +39,12 @@
         if (facts.route.isPublic)
             return {};
 
-        return { youngerThan (settings.freshWord) ? CredentialVerdict::unknownCredential
-                                                  : CredentialVerdict::wordTooOld,
+        return { confirmedWithin (settings.freshWord) ? CredentialVerdict::unknownCredential
+                                                      : CredentialVerdict::wordTooOld,
                  nullptr };
     }
 
-    if (settings.failClosed && ! youngerThan (settings.revokeTime))
+    if (settings.failClosed && ! confirmedWithin (settings.revokeTime))
         return { CredentialVerdict::wordTooOld, tenant };
 
     return { CredentialVerdict::accepted, tenant };
@@ -54,8 +55,8 @@
     if (tenant == nullptr || ! tenant->priority)
         return route.priority;
 
-    return *tenant->priority * routePriorities +
-           std::clamp (route.priority, 0, routePriorities - 1);
+    return *tenant->priority * routePriorityLevels +
+           std::clamp (route.priority, 0, routePriorityLevels - 1);
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/credential_check.h
+++ b/src/mesh/credential_check.h
@@ -1,6 +1,4 @@
-/** Decides by the key that a request shows, or doesn't, whether it may go on, and whose it is.
-    Deciding code without I/O.
-*/
+/** Authenticates a request by its key and determines its tenant. Performs no I/O. */
 #pragma once
 
 #include <cstdint>
@@ -16,49 +14,53 @@
 enum class CredentialVerdict : std::uint8_t
 {
     accepted,
-    missing,           /**< It shows no key, and its route isn't public. */
-    unknownCredential, /**< No tenant holds the key, by a word that is the latest. */
-    wordTooOld         /**< The key may be new, or may have been taken away meanwhile. */
+    missing,           /**< The request has no key and its route isn't public. */
+    unknownCredential, /**< No tenant of the up-to-date configuration has the key. */
+    wordTooOld         /**< The configuration may be stale: the key may be new or revoked. */
 };
 
 inline constexpr std::string_view credentialVerdictNames[] = {
-    "accepted", "no key", "unknown key", "what is known of the keys may be out of date"
+    "accepted", "no key", "unknown key", "the known keys may be out of date"
 };
 
 struct CredentialSettings
 {
-    /** Without a word of the source that is this young an unknown key, or route, may be a new one.
-     */
+    /** Maximum age of the source's last confirmation of the configuration for which an unknown key
+        or route is known not to exist. After that it may have been added in the meantime.
+    */
     Milliseconds freshWord{ 2500 };
 
-    /** Without a word that is this young a known key may have been taken away. */
+    /** Maximum age of the confirmation for which a known key is taken to be unrevoked. */
     Milliseconds revokeTime{ 5000 };
-    bool failClosed = false; /**< Then keys aren't accepted any more; otherwise they still are. */
+    bool failClosed = false; /**< Whether known keys are rejected after `revokeTime`. */
 };
 
-/** What a request shows, and what its node knows. */
+/** A request's credential, and the state of its node that the decision depends on. */
 struct CredentialFacts
 {
     const RouteTable& routes;
     const Route& route;
-    std::string_view credential; /**< Empty: none. */
-    bool fromInstance = false;   /**< The instance beside the node sent it. */
-    std::optional<double>
-        wordAgeMs{}; /**< Of the last word that the configuration is the newest. */
+    std::string_view credential; /**< Empty when the request has none. */
+    bool fromInstance = false;   /**< Whether the node's local instance sent it. */
+
+    /** Time since the source last confirmed that the configuration is the newest. */
+    std::optional<double> wordAgeMs{};
 };
 
 struct CredentialResult
 {
     CredentialVerdict verdict = CredentialVerdict::accepted;
-    const Tenant* tenant = nullptr; /**< Null: nobody's, as on public routes and calls. */
+    const Tenant* tenant = nullptr; /**< Null for requests without a tenant, as on public routes. */
 };
 
-/** A request without a key is accepted on public routes, and from the instance beside the node,
-   which makes it on behalf of one that has been checked.
+/** Checks a request's credential. A request without a key is accepted on public routes and from the
+    node's local instance, which sends it on behalf of a request that has been checked already.
 */
 CredentialResult checkCredential (const CredentialSettings& settings, const CredentialFacts& facts);
 
-/** How urgent a request is: its tenant's priority goes before its route's. 0 is the most urgent. */
+/** The priority of a request, where 0 is the most urgent. The tenant's priority takes precedence
+    over the route's.
+*/
 int priorityOf (const Route& route, const Tenant* tenant);
 
 } // namespace copperlead::mesh
--- a/src/mesh/tenant.cc
+++ b/src/mesh/tenant.cc
@@ -9,15 +9,18 @@
 namespace
 {
 
-constexpr double mostRequestsPerSecond = 1e9; // Far beyond any fleet; more is a slip of the pen.
+// No fleet comes near this rate, so a larger value is a configuration error.
+constexpr double maxRequestsPerSecond = 1e9;
 
-bool isLimit (double value)
+bool isValidLimit (double value)
 {
-    return std::isfinite (value) && value >= 0 && value <= mostRequestsPerSecond;
+    return std::isfinite (value) && value >= 0 && value <= maxRequestsPerSecond;
 }
 
-/** The name is sent to instances in a header field: no control characters, no blanks around it. */
-bool isName (const std::string& name)
+/** The name is sent to instances in a header field, so it must not contain control characters or
+    begin or end with a space.
+*/
+bool isValidName (const std::string& name)
 {
     return ! name.empty() &&
            std::all_of (name.begin(), name.end(),
@@ -27,12 +30,12 @@
 
 Result<Done> checkTenant (const Tenant& tenant, const std::string& place)
 {
-    if (! isName (tenant.name))
+    if (! isValidName (tenant.name))
         return Fail (ErrorKind::kBadValue, place,
-                     "the name must be printable, without blanks around it");
+                     "the name must be printable and must not begin or end with a space");
 
-    if (! isLimit (tenant.quota.requestsPerSecond) || ! isLimit (tenant.quota.burst))
-        return Fail (ErrorKind::kOutOfRange, place, "the limits must be 0 to 1000000000");
+    if (! isValidLimit (tenant.quota.requestsPerSecond) || ! isValidLimit (tenant.quota.burst))
+        return Fail (ErrorKind::kOutOfRange, place, "the limits must be between 0 and 1000000000");
 
     return Done{};
 }
@@ -43,7 +46,7 @@
 {
     std::unordered_set<std::string_view> names;
     std::unordered_map<CredentialDigest, const Tenant*, CredentialDigestHash> holders;
-    const auto none = digestOf ("");
+    const auto emptyDigest = digestOf ("");
 
     for (const auto& tenant : tenants)
     {
@@ -55,8 +58,8 @@
 
         for (const auto& credential : tenant.credentials)
         {
-            if (credential == none)
-                return Fail (ErrorKind::kBadValue, place, "a key is empty");
+            if (credential == emptyDigest)
+                return Fail (ErrorKind::kBadValue, place, "the tenant has an empty key");
 
             const auto [holder, isNew] = holders.emplace (credential, &tenant);
 
--- a/src/mesh/tenant.h
+++ b/src/mesh/tenant.h
@@ -1,5 +1,5 @@
-/** The tenants of a mesh: whose requests are whose, how urgent they are, and how many each may
-   send. Immutable once it is checked.
+/** The tenants of a mesh: their credentials, request priorities and quotas. The data is immutable
+    once it has been checked.
 */
 #pragma once
 
@@ -15,11 +15,11 @@
 namespace copperlead::mesh
 {
 
-/** What a tenant may send, over all nodes together. */
+/** A tenant's rate limit, which applies to the sum over all nodes. */
 struct Quota
 {
-    double requestsPerSecond = 0; /**< 0: no limit. */
-    double burst = 0;             /**< Requests beyond that at once. */
+    double requestsPerSecond = 0; /**< 0 means unlimited. */
+    double burst = 0;             /**< Requests allowed at once beyond the rate. */
 
     bool limits() const { return requestsPerSecond > 0; }
     bool operator== (const Quota&) const = default;
@@ -28,33 +28,34 @@
 struct Tenant
 {
     std::string name;
-    std::optional<int> priority; /**< In place of the routes' priorities. */
+    std::optional<int> priority; /**< Takes precedence over the routes' priorities. */
     Quota quota;
     std::vector<CredentialDigest> credentials;
-    std::vector<std::string> allowedRegions; /**< Empty: its requests may run anywhere. */
+    std::vector<std::string> allowedRegions; /**< Empty means that all regions are allowed. */
 
     bool operator== (const Tenant&) const = default;
 };
 
-/** @returns kBadValue, kOutOfRange or kDuplicateRoute whose place names the tenant: a name or key
-             that is empty or given twice, a limit that is no sane number
+/** Validates the tenants of a configuration.
+    @returns kBadValue, kOutOfRange or kDuplicateRoute, whose place names the tenant, if a name or
+             key is empty or duplicated, or if a limit is out of range
 */
 Result<Done> checkTenants (const std::vector<Tenant>& tenants);
 
-/** Finds tenants by what requests show. Any thread. */
+/** Looks up tenants by credential or by name. Safe to call from any thread. */
 class TenantTable
 {
 public:
-    /** @param tenants  outlive this */
+    /** @param tenants  must outlive the table */
     explicit TenantTable (const std::vector<Tenant>& tenants);
 
-    /** True when the mesh has no tenants: then no request needs a key. */
+    /** True when the mesh has no tenants, in which case no request needs a key. */
     bool empty() const { return byCredential.empty() && byName.empty(); }
 
     /** @returns the tenant that holds the key, or nullptr */
     const Tenant* find (std::string_view credential) const;
 
-    /** @returns the tenant of that name, or nullptr */
+    /** @returns the tenant with the given name, or nullptr */
     const Tenant* named (std::string_view name) const;
 
 private:
--- a/tests/mesh/tenant_test.cc
+++ b/tests/mesh/tenant_test.cc
@@ -33,7 +33,7 @@
     return RouteTable (Resolve ([&] { return checkConfiguration (config); }).value());
 }
 
-TEST (Tenant, IsFoundByAnyOfItsKeysAndByItsName)
+TEST (Tenant, IsFoundByKeyAndByName)
 {
     const auto table = tableOf ({ makeTenant ("a", { "k1", "k2" }), makeTenant ("b", { "k3" }) });
     EXPECT_EQ (table.tenants().find ("k2")->name, "a");
@@ -46,12 +46,12 @@
     EXPECT_TRUE (tableOf ({}).tenants().empty());
 }
 
-TEST (Tenant, ABadOneIsRefusedNamingIt)
+TEST (Tenant, InvalidTenantIsRejectedWithItsName)
 {
     auto negative = makeTenant ("c", { "k5" });
     negative.quota.requestsPerSecond = -1;
-    auto endless = makeTenant ("d", { "k6" });
-    endless.quota.burst = std::numeric_limits<double>::infinity();
+    auto infinite = makeTenant ("d", { "k6" });
+    infinite.quota.burst = std::numeric_limits<double>::infinity();
 
     struct Case
     {
@@ -70,27 +70,27 @@
         { { makeTenant ("", { "k1" }) }, "tenants.", ErrorKind::kBadValue },
         { { makeTenant ("a\r\nx", { "k1" }) }, "tenants.a\r\nx", ErrorKind::kBadValue },
         { { negative }, "tenants.c", ErrorKind::kOutOfRange },
-        { { endless }, "tenants.d", ErrorKind::kOutOfRange },
+        { { infinite }, "tenants.d", ErrorKind::kOutOfRange },
     };
 
-    for (const auto& wanted : cases)
+    for (const auto& testCase : cases)
     {
         auto config = makeConfiguration (4);
-        config.tenants = wanted.tenants;
+        config.tenants = testCase.tenants;
         const auto checked = Resolve ([&] { return checkConfiguration (config); });
-        ASSERT_FALSE (checked) << wanted.place;
-        EXPECT_EQ (checked.error().place, wanted.place);
-        EXPECT_EQ (checked.error().kind, wanted.kind) << wanted.place;
+        ASSERT_FALSE (checked) << testCase.place;
+        EXPECT_EQ (checked.error().place, testCase.place);
+        EXPECT_EQ (checked.error().kind, testCase.kind) << testCase.place;
     }
 }
 
-TEST (Tenant, ADifferenceHoldsOnlyTheTenantsThatChanged)
+TEST (Tenant, DifferenceContainsOnlyChangedTenants)
 {
     auto base = makeConfiguration (4);
     base.tenants = { makeTenant ("a", { "k1" }), makeTenant ("b", { "k2" }),
                      makeTenant ("c", { "k3" }) };
     auto next = makeConfiguration (9);
-    // A key passes from one tenant to another, and the third tenant goes.
+    // One key moves from one tenant to another, and the third tenant is removed.
     next.tenants = { makeTenant ("a", {}), makeTenant ("b", { "k2", "k1" }) };
     const auto change = difference (base, next, revision (12));
     EXPECT_EQ (change.content.tenants, next.tenants);
@@ -98,21 +98,21 @@
 
     MeshUpdate update;
     update.configuration = change;
-    const auto passedOn = Resolve ([&] { return decodeMeshUpdate (encode (update)); });
-    ASSERT_TRUE (passedOn);
-    const auto whole = Resolve ([&] { return rebuild (&base, *passedOn.value().configuration); });
-    ASSERT_TRUE (whole);
-    EXPECT_EQ (whole.value().tenants, next.tenants);
+    const auto received = Resolve ([&] { return decodeMeshUpdate (encode (update)); });
+    ASSERT_TRUE (received);
+    const auto rebuilt = Resolve ([&] { return rebuild (&base, *received.value().configuration); });
+    ASSERT_TRUE (rebuilt);
+    EXPECT_EQ (rebuilt.value().tenants, next.tenants);
 
     next.tenants[1].quota.burst = 7;
-    EXPECT_EQ (difference (whole.value(), next, revision (13)).content.tenants.size(), 1U);
+    EXPECT_EQ (difference (rebuilt.value(), next, revision (13)).content.tenants.size(), 1U);
 }
 
-TEST (CredentialCheck, ByKeyRouteAndAgeOfTheWord)
+TEST (CredentialCheck, DependsOnKeyRouteAndConfirmationAge)
 {
     const auto table = tableOf ({ makeTenant ("a", { "k1" }) });
-    const auto& keyed = table.configuration().routes[0];
-    const auto& open = table.configuration().routes[1];
+    const auto& protectedRoute = table.configuration().routes[0];
+    const auto& publicRoute = table.configuration().routes[1];
     using Verdict = CredentialVerdict;
 
     struct Case
@@ -126,36 +126,36 @@
         bool hasTenant;
     };
     const Case cases[] = {
-        { keyed, "k1", false, 100, false, Verdict::accepted, true },
-        { keyed, "k1", false, std::nullopt, false, Verdict::accepted, true },
-        { keyed, "k1", false, 4999, true, Verdict::accepted, true },
-        { keyed, "k1", false, 5001, true, Verdict::wordTooOld, true },
-        { keyed, "k1", false, std::nullopt, true, Verdict::wordTooOld, true },
-        { keyed, "k9", false, 100, false, Verdict::unknownCredential, false },
-        { keyed, "k9", false, 2501, false, Verdict::wordTooOld, false },
-        { keyed, "k9", false, std::nullopt, false, Verdict::wordTooOld, false },
-        { keyed, "", false, 100, false, Verdict::missing, false },
-        { keyed, "", false, 2501, false, Verdict::wordTooOld, false },
-        { keyed, "", true, std::nullopt, true, Verdict::accepted, false },
-        { keyed, "k9", true, 100, false, Verdict::unknownCredential, false },
-        { open, "", false, std::nullopt, true, Verdict::accepted, false },
-        { open, "k1", false, 100, false, Verdict::accepted, true },
-        { open, "k9", false, 100, false, Verdict::accepted, false },
+        { protectedRoute, "k1", false, 100, false, Verdict::accepted, true },
+        { protectedRoute, "k1", false, std::nullopt, false, Verdict::accepted, true },
+        { protectedRoute, "k1", false, 4999, true, Verdict::accepted, true },
+        { protectedRoute, "k1", false, 5001, true, Verdict::wordTooOld, true },
+        { protectedRoute, "k1", false, std::nullopt, true, Verdict::wordTooOld, true },
+        { protectedRoute, "k9", false, 100, false, Verdict::unknownCredential, false },
+        { protectedRoute, "k9", false, 2501, false, Verdict::wordTooOld, false },
+        { protectedRoute, "k9", false, std::nullopt, false, Verdict::wordTooOld, false },
+        { protectedRoute, "", false, 100, false, Verdict::missing, false },
+        { protectedRoute, "", false, 2501, false, Verdict::wordTooOld, false },
+        { protectedRoute, "", true, std::nullopt, true, Verdict::accepted, false },
+        { protectedRoute, "k9", true, 100, false, Verdict::unknownCredential, false },
+        { publicRoute, "", false, std::nullopt, true, Verdict::accepted, false },
+        { publicRoute, "k1", false, 100, false, Verdict::accepted, true },
+        { publicRoute, "k9", false, 100, false, Verdict::accepted, false },
     };
 
-    for (const auto& wanted : cases)
+    for (const auto& testCase : cases)
     {
         CredentialSettings settings;
-        settings.failClosed = wanted.failClosed;
+        settings.failClosed = testCase.failClosed;
         const auto result = checkCredential (
-            settings, { table, wanted.route, wanted.key, wanted.fromInstance, wanted.age });
-        const auto place = std::string (wanted.key) + " on " + wanted.route.name;
-        EXPECT_EQ (result.verdict, wanted.verdict) << place << " " << wanted.age.value_or (-1);
-        EXPECT_EQ (result.tenant != nullptr, wanted.hasTenant) << place;
+            settings, { table, testCase.route, testCase.key, testCase.fromInstance, testCase.age });
+        const auto place = std::string (testCase.key) + " on " + testCase.route.name;
+        EXPECT_EQ (result.verdict, testCase.verdict) << place << " " << testCase.age.value_or (-1);
+        EXPECT_EQ (result.tenant != nullptr, testCase.hasTenant) << place;
     }
 }
 
-TEST (CredentialCheck, AMeshWithoutTenantsNeedsNoKey)
+TEST (CredentialCheck, MeshWithoutTenantsNeedsNoKey)
 {
     const auto table = tableOf ({});
     const auto result = checkCredential (
@@ -164,7 +164,7 @@
     EXPECT_EQ (result.tenant, nullptr);
 }
 
-TEST (CredentialCheck, ATenantsPriorityGoesBeforeItsRoutes)
+TEST (CredentialCheck, TenantPriorityTakesPrecedenceOverRoutePriority)
 {
     auto urgent = makeTenant ("a", {}), usual = makeTenant ("b", {}), none = makeTenant ("c", {});
     urgent.priority = 0;
