--- a/src/mesh/datagram_archive.h
+++ b/src/mesh/datagram_archive.h
@@ -1,4 +1,6 @@
-/** Encodes and decodes one message as a datagram: a mark that tells its kind, then its fields. */
+/** Encodes and decodes one message as a datagram: a tag that identifies the message type, followed
+    by the message's fields.
+*/
 #pragma once
 
 #include <algorithm>
@@ -13,49 +15,51 @@
 namespace copperlead::mesh
 {
 
-/** A count of at most `most` items, before them. @returns the count to read or write */
+/** Archives the number of items that follow, which is at most `maxCount`.
+    @returns the number of items to read or write
+*/
 template <typename Archive>
-std::size_t archiveCount (Archive& archive, std::size_t size, std::size_t most)
+std::size_t archiveCount (Archive& archive, std::size_t size, std::size_t maxCount)
 {
-    auto count = static_cast<std::uint8_t> (std::min (size, most));
+    auto count = static_cast<std::uint8_t> (std::min (size, maxCount));
     archive (count);
 
-    if (count > most)
-        throw cereal::Exception ("more items than a message holds");
+    if (count > maxCount)
+        throw cereal::Exception ("message has more items than its limit");
 
     return count;
 }
 
 template <typename Message>
-std::string encodeDatagram (std::uint32_t mark, const Message& message)
+std::string encodeDatagram (std::uint32_t tag, const Message& message)
 {
     std::ostringstream stream;
     cereal::PortableBinaryOutputArchive archive (stream);
-    archive (mark, message);
+    archive (tag, message);
     return std::move (stream).str();
 }
 
-/** @returns nothing when the datagram has another mark or isn't whole */
+/** @returns nullopt when the datagram has another tag or is truncated */
 template <typename Message>
-std::optional<Message> decodeDatagram (std::uint32_t mark, std::string_view bytes)
+std::optional<Message> decodeDatagram (std::uint32_t tag, std::string_view bytes)
 {
-    std::uint32_t found = 0;
+    std::uint32_t foundTag = 0;
     Message message;
 
     try
     {
         std::istringstream stream{ std::string (bytes) };
         cereal::PortableBinaryInputArchive archive (stream);
-        archive (found);
+        archive (foundTag);
 
-        if (found != mark)
+        if (foundTag != tag)
             return std::nullopt;
 
         archive (message);
     }
     catch (const std::exception&)
     {
-        // Whatever a stray datagram holds; a lost one is repaired in the same way.
+        // A malformed datagram is treated like a lost one, which the protocols recover from.
         return std::nullopt;
     }
 
--- a/src/mesh/enum_names.h
+++ b/src/mesh/enum_names.h
@@ -1,4 +1,4 @@
-/** The name of an enumerator by the table beside its enum. */
+/** Looks up the name of an enumerator in the table declared next to its enum. */
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 namespace copperlead::mesh
 {
 
-/** @param names  one for each enumerator, in their order */
+/** @param names  one name for each enumerator, in declaration order */
 template <typename Enum, std::size_t count>
 constexpr std::string_view nameOf (Enum value, const std::string_view (&names)[count])
 {
--- a/src/mesh/locality.cc
+++ b/src/mesh/locality.cc
@@ -9,9 +9,9 @@
     : zone (std::move (ownZone))
     , regions (std::move (regionsByZone))
 {
-    several = std::any_of (regions.begin(), regions.end(),
-                           [this] (const auto& item)
-                           { return of (item.first) == Proximity::otherRegion; });
+    hasSeveralRegions = std::any_of (regions.begin(), regions.end(),
+                                     [this] (const auto& item)
+                                     { return of (item.first) == Proximity::otherRegion; });
 }
 
 const std::string& Locality::regionOf (const std::string& ofZone) const
--- a/src/mesh/locality.h
+++ b/src/mesh/locality.h
@@ -1,4 +1,6 @@
-/** How far zones are from this node's: requests stay near as long as there is room near. */
+/** Proximity of zones to this node's zone. Requests are served nearby as long as there is capacity
+    nearby.
+*/
 #pragma once
 
 #include <cstdint>
@@ -9,7 +11,7 @@
 namespace copperlead::mesh
 {
 
-/** The nearest first. */
+/** Ordered from nearest to farthest. */
 enum class Proximity : std::uint8_t
 {
     sameZone,
@@ -23,27 +25,28 @@
 public:
     Locality() = default;
 
-    /** @param ownZone        of this node
-        @param regionsByZone  zones that are missing count as in this node's region
+    /** @param ownZone        zone of this node
+        @param regionsByZone  region of each zone; missing zones count as in this node's region
     */
     Locality (std::string ownZone, std::map<std::string, std::string> regionsByZone);
 
     Proximity of (const std::string& otherZone) const;
 
-    /** @returns the zone's region; empty when it isn't known */
+    /** @returns the zone's region, or an empty string when it isn't known */
     const std::string& regionOf (const std::string& ofZone) const;
 
     /** Whether requests may be served in a zone.
-        @param allowedRegions  empty: everywhere; a zone whose region isn't known is in none
+        @param allowedRegions  empty allows all zones; otherwise a zone with an unknown region isn't
+                               allowed
     */
     bool allows (const std::vector<std::string>& allowedRegions, const std::string& inZone) const;
 
-    bool hasOtherRegions() const { return several; }
+    bool hasOtherRegions() const { return hasSeveralRegions; }
 
 private:
     std::string zone;
     std::map<std::string, std::string> regions;
-    bool several = false;
+    bool hasSeveralRegions = false;
 };
 
 } // namespace copperlead::mesh
--- a/src/mesh/mesh_configuration.cc
+++ b/src/mesh/mesh_configuration.cc
@@ -9,8 +9,8 @@
 namespace
 {
 
-constexpr Milliseconds longestTimeout{ 3'600'000 };
-constexpr int mostAttempts = 100;
+constexpr Milliseconds maxTimeout{ 3'600'000 };
+constexpr int maxAttemptsLimit = 100;
 
 std::string routeKey (std::string_view host, std::string_view prefix)
 {
@@ -25,13 +25,14 @@
     for (const auto& part : route.services)
     {
         if (! config.services.contains (part.service))
-            return Fail (ErrorKind::kUnknownService, place, "\"" + part.service + "\" is unknown");
+            return Fail (ErrorKind::kUnknownService, place,
+                         "service \"" + part.service + "\" is not defined");
 
         sum += part.weight;
     }
 
     if (sum == 0)
-        return Fail (ErrorKind::kWeightsSum, place, "no service has a weight above 0");
+        return Fail (ErrorKind::kWeightsSum, place, "no service has a weight greater than 0");
 
     return Done{};
 }
@@ -42,19 +43,21 @@
     const auto& prefix = route.pathPrefix;
 
     if (prefix.empty() || prefix.front() != '/' || prefix.back() != '/')
-        return Fail (ErrorKind::kBadRoute, place, "the prefix must begin and end with '/'");
+        return Fail (ErrorKind::kBadRoute, place, "the path prefix must begin and end with '/'");
 
     if (route.host.empty())
         return Fail (ErrorKind::kBadRoute, place, "the host is missing");
 
-    if (route.timeout <= Milliseconds (0) || route.timeout > longestTimeout)
-        return Fail (ErrorKind::kOutOfRange, place, "the time-out must be 1 to 3600000 ms");
+    if (route.timeout <= Milliseconds (0) || route.timeout > maxTimeout)
+        return Fail (ErrorKind::kOutOfRange, place, "the timeout must be between 1 and 3600000 ms");
 
-    if (route.targetLatency <= Milliseconds (0) || route.targetLatency > longestTimeout)
-        return Fail (ErrorKind::kOutOfRange, place, "the target latency must be 1 to 3600000 ms");
+    if (route.targetLatency <= Milliseconds (0) || route.targetLatency > maxTimeout)
+        return Fail (ErrorKind::kOutOfRange, place,
+                     "the target latency must be between 1 and 3600000 ms");
 
-    if (route.maxAttempts < 1 || route.maxAttempts > mostAttempts)
-        return Fail (ErrorKind::kOutOfRange, place, "the attempts must be 1 to 100");
+    if (route.maxAttempts < 1 || route.maxAttempts > maxAttemptsLimit)
+        return Fail (ErrorKind::kOutOfRange, place,
+                     "the maximum number of attempts must be between 1 and 100");
 
     return checkServices (config, route, place);
 }
@@ -71,7 +74,7 @@
 
         if (! keys.insert (routeKey (route.host, route.pathPrefix)).second)
             return Fail (ErrorKind::kDuplicateRoute, "routes." + route.name,
-                         "another route has the same host and prefix");
+                         "another route has the same host and path prefix");
     }
 
     BOOST_LEAF_CHECK (checkTenants (configuration.tenants));
@@ -102,9 +105,9 @@
 {
     const auto path = target.substr (0, target.find ('?'));
     auto key = routeKey (canonicalHost (host), path);
-    const auto shortest = key.size() - path.size();
+    const auto pathBegin = key.size() - path.size();
 
-    for (auto slash = key.rfind ('/'); slash != std::string::npos && slash >= shortest;
+    for (auto slash = key.rfind ('/'); slash != std::string::npos && slash >= pathBegin;
          slash = key.rfind ('/', slash - 1))
     {
         key.resize (slash + 1);
--- a/src/mesh/mesh_configuration.h
+++ b/src/mesh/mesh_configuration.h
@@ -1,6 +1,6 @@
-/** The configuration that the proxies of a mesh run: routes by host and path prefix, the services
-    they name, and the limits that clients are held to. Immutable once it is checked; a proxy swaps
-    a shared pointer to it.
+/** The configuration of a mesh's proxies: routes by host and path prefix, the services that the
+    routes refer to, the tenants, and the limits for clients. It is immutable once it has been
+    checked; a proxy replaces its configuration by swapping a shared pointer.
 */
 #pragma once
 
@@ -20,24 +20,24 @@
 namespace copperlead::mesh
 {
 
-/** Whether a request of a route may run more than once. */
+/** Whether a route's requests may be executed more than once. */
 enum class Repeatability : std::uint8_t
 {
-    idempotent,    /**< May run any number of times. */
-    nonIdempotent, /**< At most once for each client attempt. */
-    upload,        /**< As nonIdempotent, with a large body. */
-    download       /**< As idempotent, with a large answer. */
+    idempotent,    /**< May be executed any number of times. */
+    nonIdempotent, /**< Executed at most once per client attempt. */
+    upload,        /**< Like nonIdempotent, with a large request body. */
+    download       /**< Like idempotent, with a large response body. */
 };
 
-/** The names of the values above, as configurations spell them, in their order. */
+/** Names of the Repeatability values in configurations, in declaration order. */
 inline constexpr std::string_view repeatabilityNames[] = { "idempotent", "non_idempotent", "upload",
                                                            "download" };
 
-/** One part of a route's traffic. */
+/** A service that receives a share of a route's traffic. */
 struct WeightedService
 {
     std::string service;
-    std::uint32_t weight = 1; /**< Relative to the other parts' weights. */
+    std::uint32_t weight = 1; /**< Relative to the weights of the route's other services. */
 
     bool operator== (const WeightedService&) const = default;
 };
@@ -48,13 +48,13 @@
     std::string host;       /**< Lower case, without a port. */
     std::string pathPrefix; /**< Begins and ends with '/'. */
     Repeatability repeatability = Repeatability::nonIdempotent;
-    Milliseconds timeout{};       /**< Longest time that a request is held. */
-    Milliseconds targetLatency{}; /**< An answer within it has its full value. */
+    Milliseconds timeout{};       /**< Maximum time that a request is held. */
+    Milliseconds targetLatency{}; /**< A response within this time has its full value. */
     int priority = 0;             /**< 0 is the most urgent. */
-    int maxAttempts = 1;          /**< Instances that one request may be sent to. */
+    int maxAttempts = 1;          /**< Number of instances that a request may be sent to. */
     std::vector<WeightedService> services;
-    bool isPublic = false;                   /**< Needs no key where the mesh has tenants. */
-    std::vector<std::string> allowedRegions; /**< Empty: it may run anywhere. */
+    bool isPublic = false; /**< Requests need no key, even if the mesh has tenants. */
+    std::vector<std::string> allowedRegions; /**< Empty means that all regions are allowed. */
 
     bool operator== (const Route&) const = default;
     bool mayRepeat() const
@@ -67,11 +67,11 @@
 struct ServiceSettings
 {
     std::string healthPath;
-    int maxConnections = 0; /**< Of one instance, over all callers; 0 is unlimited. */
+    int maxConnections = 0; /**< Per instance, over all callers; 0 means unlimited. */
     ColdProfile cold{};
 };
 
-/** What a client may send, and for how long it may stay silent. */
+/** Limits on the size of client requests and on the time that clients may be idle. */
 struct ClientLimits
 {
     std::size_t headerBytes = 16384;
@@ -91,21 +91,20 @@
 
 using ConfigurationPointer = std::shared_ptr<const MeshConfiguration>;
 
-/** Checks everything that a proxy relies on.
+/** Validates everything that a proxy relies on.
     @returns kBadRoute, kUnknownService, kWeightsSum, kOutOfRange, kBadValue or kDuplicateRoute,
-             whose place names the route, service or tenant.
+             whose place names the route or tenant
 */
 Result<ConfigurationPointer> checkConfiguration (MeshConfiguration configuration);
 
-/** Finds the route and the tenant of a request. Immutable; any thread. */
+/** Looks up the route and the tenant of a request. Immutable, hence safe to use from any thread. */
 class RouteTable
 {
 public:
     explicit RouteTable (ConfigurationPointer source);
 
-    /** @param host    the Host header as received; its port and the case of its letters don't
-       matter
-        @param target  the request target; what follows a '?' isn't matched
+    /** @param host    the Host header as received; its port and letter case are ignored
+        @param target  the request target; the query string is ignored
         @returns the route with the longest matching prefix, or nullptr
     */
     const Route* find (std::string_view host, std::string_view target) const;
@@ -120,7 +119,7 @@
     TenantTable tenantTable;
 };
 
-/** Lower-cases a host name and drops its port. */
+/** Converts a host name to lower case and removes its port. */
 std::string canonicalHost (std::string_view host);
 
 } // namespace copperlead::mesh
--- a/src/mesh/milliseconds.h
+++ b/src/mesh/milliseconds.h
@@ -1,4 +1,4 @@
-/** Times as fractional milliseconds, in which estimates, logs and metrics are reckoned. */
+/** Conversions to and from fractional milliseconds, the unit of estimates, logs and metrics. */
 #pragma once
 
 #include <optional>
@@ -28,7 +28,7 @@
     return Milliseconds (static_cast<std::int64_t> (count));
 }
 
-/** @returns nothing when it has never been: `when` is the clock's zero */
+/** @returns the time since `when`, or nullopt when `when` is unset (the clock's epoch) */
 inline std::optional<double> ageInMilliseconds (Timestamp now, Timestamp when)
 {
     if (when == Timestamp{})
--- a/src/mesh/peer_addresses.h
+++ b/src/mesh/peer_addresses.h
@@ -1,4 +1,4 @@
-/** Where the other nodes are, by zone. A node stands beside each listed instance, at its IP. */
+/** Addresses of the other nodes, by zone. Each listed instance has a node at the same IP. */
 #pragma once
 
 #include <string>
@@ -9,15 +9,16 @@
 namespace copperlead::mesh
 {
 
-/** IPs, each once, in order. */
+/** Sorted IPs without duplicates. */
 struct PeerAddresses
 {
     std::vector<std::string> inZone;
     std::vector<std::string> elsewhere;
 };
 
-/** @param zone   of this node
-    @param ownIp  left out
+/** Lists the nodes of all listed instances.
+    @param zone   zone of this node
+    @param ownIp  IP of this node, which is excluded
 */
 PeerAddresses peersOf (const DirectorySnapshot& directory, const std::string& zone,
                        const std::string& ownIp);
--- a/tests/mesh/mesh_configuration_test.cc
+++ b/tests/mesh/mesh_configuration_test.cc
@@ -10,7 +10,7 @@
 namespace
 {
 
-TEST (RouteTable, LongestPrefixOnSegmentBordersWins)
+TEST (RouteTable, LongestPrefixOnSegmentBoundariesWins)
 {
     struct Case
     {
@@ -34,19 +34,19 @@
     ASSERT_TRUE (config);
     const RouteTable table (config.value());
 
-    for (const auto& wanted : cases)
+    for (const auto& testCase : cases)
     {
-        const auto* found = table.find (wanted.host, wanted.target);
-        EXPECT_EQ (found == nullptr ? "" : found->name, wanted.route)
-            << wanted.host << wanted.target;
+        const auto* found = table.find (testCase.host, testCase.target);
+        EXPECT_EQ (found == nullptr ? "" : found->name, testCase.route)
+            << testCase.host << testCase.target;
     }
 }
 
-TEST (CheckConfiguration, RefusesWholeWhatAProxyCannotRunNamingThePlace)
+TEST (CheckConfiguration, RejectsInvalidConfigurationsWithThePlace)
 {
     struct Case
     {
-        const char* what;
+        const char* fault;
         void (*damage) (MeshConfiguration&);
         ErrorKind kind;
     };
@@ -71,18 +71,18 @@
           ErrorKind::kDuplicateRoute },
     };
 
-    for (const auto& wanted : cases)
+    for (const auto& testCase : cases)
     {
         auto config = makeConfiguration (1);
-        wanted.damage (config);
+        testCase.damage (config);
         const auto checked = Resolve ([&] { return checkConfiguration (config); });
-        ASSERT_FALSE (checked) << wanted.what;
-        EXPECT_EQ (checked.error().kind, wanted.kind) << wanted.what;
-        EXPECT_EQ (checked.error().place, "routes.deep") << wanted.what;
+        ASSERT_FALSE (checked) << testCase.fault;
+        EXPECT_EQ (checked.error().kind, testCase.kind) << testCase.fault;
+        EXPECT_EQ (checked.error().place, "routes.deep") << testCase.fault;
     }
 }
 
-TEST (ConfigurationHolder, MovesOnlyToLaterVersionsAndKeepsTheRunningOneOnAFault)
+TEST (ConfigurationHolder, AcceptsOnlyLaterVersionsAndKeepsTheCurrentOneOnAnError)
 {
     ConfigurationHolder holder;
     const auto take = [&] (MeshConfiguration config)
--- a/tests/mesh/peer_addresses_test.cc
+++ b/tests/mesh/peer_addresses_test.cc
@@ -13,7 +13,7 @@
 
 using Ips = std::vector<std::string>;
 
-/** b drains. */
+/** A directory of instances in three zones, in which instance b is draining. */
 class Peers : public ::testing::Test
 {
 protected:
@@ -33,13 +33,13 @@
     InstanceDirectory directory;
 };
 
-TEST_F (Peers, AreTheNodesBesideAllInstancesButThisOne)
+TEST_F (Peers, AreTheNodesOfAllOtherInstances)
 {
     EXPECT_EQ (peers().inZone, (Ips{ "10.0.0.2", "10.0.0.3" }));
     EXPECT_EQ (peers().elsewhere, (Ips{ "10.0.0.4", "10.0.0.5" }));
 }
 
-TEST_F (Peers, OneForEachMachine)
+TEST_F (Peers, AreListedOncePerIp)
 {
     auto second = makeInstance ("e", "z2", 4);
     second.address.port = 8001;
