--- a/src/mesh/start_window.cc
+++ b/src/mesh/start_window.cc
@@ -7,13 +7,13 @@
 
 void StartWindow::setMost (int newMost)
 {
-    mostStarts = newMost;
+    maxStarts = newMost;
     dropOldest();
 }
 
 void StartWindow::dropOldest()
 {
-    while (starts.size() > static_cast<std::size_t> (mostStarts))
+    while (starts.size() > static_cast<std::size_t> (maxStarts))
         starts.pop_front();
 }
 
@@ -37,7 +37,7 @@
 void StartWindow::assumeStarted (Timestamp when, int count)
 {
     const auto before = std::lower_bound (starts.begin(), starts.end(), when);
-    starts.insert (before, static_cast<std::size_t> (std::min (count, mostStarts)), when);
+    starts.insert (before, static_cast<std::size_t> (std::min (count, maxStarts)), when);
     dropOldest();
 }
 
@@ -46,16 +46,17 @@
     if (! binds (now))
         return now;
 
-    auto latest = earliestIn (length, mostStarts, now, before);
+    auto allowedAt = earliestInWindow (windowLength, maxStarts, now, before);
 
-    if (mostInQuarter > 0)
-        latest = std::max (latest, earliestIn (quarterLength, mostInQuarter, now, before));
+    if (maxStartsInQuarter > 0)
+        allowedAt = std::max (
+            allowedAt, earliestInWindow (quarterWindowLength, maxStartsInQuarter, now, before));
 
-    return std::min (end, latest);
+    return std::min (end, allowedAt);
 }
 
-Timestamp StartWindow::earliestIn (Milliseconds window, int most, Timestamp now,
-                                   std::size_t before) const
+Timestamp StartWindow::earliestInWindow (Milliseconds window, int most, Timestamp now,
+                                         std::size_t before) const
 {
     const auto places = static_cast<std::size_t> (most);
     const auto counted = std::min (places, starts.size());
@@ -64,12 +65,13 @@
     if (before < free)
         return now;
 
-    // The start that it follows by a whole window, or one that is itself still to come.
-    const auto followed = before - free;
-    const auto windows = static_cast<int> (1 + followed / places);
-    const auto place = followed % places;
-    const auto since = place < counted ? starts[starts.size() - counted + place] : now;
-    return std::max<Timestamp> (now, since + windows * window);
+    // The request follows the start at this place by one or more whole windows. That start is
+    // either a recorded one or one of the requests ahead, which can start now.
+    const auto excess = before - free;
+    const auto windows = static_cast<int> (1 + excess / places);
+    const auto place = excess % places;
+    const auto precedingStart = place < counted ? starts[starts.size() - counted + place] : now;
+    return std::max<Timestamp> (now, precedingStart + windows * window);
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/start_window.h
+++ b/src/mesh/start_window.h
@@ -1,6 +1,6 @@
-/** Bounds how many requests are started at an instance within any second, and within any quarter of
-    one: those that it can bear while it is cold. Sliding windows, since a bound on average lets
-    bursts through. Deciding code without I/O.
+/** Limits the requests started at a cold instance within any second and any quarter of a second.
+    It uses sliding windows, since a limit on the average rate would let bursts through. Performs no
+    I/O.
 */
 #pragma once
 
@@ -12,53 +12,56 @@
 namespace copperlead::mesh
 {
 
-/** Not thread-safe. */
+/** A sliding-window limit on request starts. Not thread-safe. */
 class StartWindow
 {
 public:
-    /** The most starts in one window while the bound holds; 0: there is never a bound. */
+    /** Sets the maximum number of starts per window while the limit is enforced; 0 disables it. */
     void setMost (int newMost);
-    int most() const { return mostStarts; }
+    int most() const { return maxStarts; }
 
-    /** The most starts in a quarter of a window; 0: as many as in a whole one. */
-    void setMostInQuarter (int newMost) { mostInQuarter = newMost; }
+    /** Sets the maximum number of starts per quarter window; 0 means that only the limit of the
+        whole window applies.
+    */
+    void setMostInQuarter (int newMost) { maxStartsInQuarter = newMost; }
 
-    /** The bound holds until then; what was started before counts, too. */
+    /** Enforces the limit until `newEnd`. Starts before this call count as well. */
     void bindUntil (Timestamp newEnd) { end = newEnd; }
 
-    bool binds (Timestamp now) const { return mostStarts > 0 && now < end; }
+    bool binds (Timestamp now) const { return maxStarts > 0 && now < end; }
 
-    /** A request was started, and is taken to be sent at once. */
+    /** Records the start of a request, which is assumed to be sent immediately. */
     void started (Timestamp now);
 
-    /** What was started at `startedAt` was sent only now, over a connection that had to be opened
-        first: it counts from now on.
+    /** Moves the start at `startedAt` to `now`, since the request was sent only after its
+        connection had been opened.
     */
     void sent (Timestamp startedAt, Timestamp now);
 
-    /** Counts as many starts as having been made then, since it isn't known how many were. */
+    /** Records `count` starts at `when`, as an estimate when the actual number is unknown. */
     void assumeStarted (Timestamp when, int count);
 
-    /** The starts so far were at another instance. */
+    /** Removes all recorded starts, for use when they belong to another instance. */
     void forget() { starts.clear(); }
 
-    /** When a request that `before` others are started ahead of may be started at the earliest. */
+    /** The earliest time at which a request may start that has `before` requests ahead of it. */
     Timestamp earliest (Timestamp now, std::size_t before) const;
 
 private:
-    /** Keeps `mostStarts` of them. */
+    /** Limits the recorded starts to the latest `maxStarts`. */
     void dropOldest();
 
-    /** As earliest(), for one window that holds `most` starts. */
-    Timestamp earliestIn (Milliseconds window, int most, Timestamp now, std::size_t before) const;
+    /** The earliest start that a single window with a limit of `most` starts allows. */
+    Timestamp earliestInWindow (Milliseconds window, int most, Timestamp now,
+                                std::size_t before) const;
 
-    // A second, and what the way to the instance may differ between two requests.
-    static constexpr Milliseconds length{ 1010 };
-    static constexpr Milliseconds quarterLength{ 253 }; // Rounded up.
+    // One second plus an allowance for the variation in latency to the instance.
+    static constexpr Milliseconds windowLength{ 1010 };
+    static constexpr Milliseconds quarterWindowLength{ 253 }; // Rounded up.
 
-    int mostStarts = 0, mostInQuarter = 0;
+    int maxStarts = 0, maxStartsInQuarter = 0;
     Timestamp end{};
-    std::deque<Timestamp> starts; /**< The latest, oldest first; `mostStarts` of them. */
+    std::deque<Timestamp> starts; /**< The latest starts, oldest first; at most `maxStarts`. */
 };
 
 } // namespace copperlead::mesh
--- a/src/mesh/zone_evacuations.cc
+++ b/src/mesh/zone_evacuations.cc
@@ -3,45 +3,46 @@
 namespace copperlead::mesh
 {
 
-void ZoneEvacuations::retain (Timestamp now, Known& known, SourcePosition position)
+void ZoneEvacuations::retain (Timestamp now, ZoneState& state, SourcePosition position)
 {
-    known.change.position = position;
-    known.change.retained = true;
-    known.retainedAt = now;
+    state.change.position = position;
+    state.change.retained = true;
+    state.retainedAt = now;
 }
 
-bool ZoneEvacuations::relistsEndedEvacuation (const Known& known, const EvacuationChange& change)
+bool ZoneEvacuations::relistsEndedEvacuation (const ZoneState& state,
+                                              const EvacuationChange& change)
 {
-    return known.change.over && ! change.over && ! change.retained &&
-           known.change.position.epoch < change.position.epoch &&
-           change.position.revision <= known.orderRevision;
+    return state.change.over && ! change.over && ! change.retained &&
+           state.change.position.epoch < change.position.epoch &&
+           change.position.revision <= state.lastOrderRevision;
 }
 
 bool ZoneEvacuations::take (Timestamp now, const EvacuationChange& change)
 {
     const auto [found, isNew] = byZone.try_emplace (change.zone);
-    auto& known = found->second;
+    auto& state = found->second;
 
-    if (! isNew && change.position < known.change.position)
+    if (! isNew && change.position < state.change.position)
         return false;
 
-    if (! isNew && relistsEndedEvacuation (known, change))
+    if (! isNew && relistsEndedEvacuation (state, change))
     {
-        retain (now, known, change.position);
+        retain (now, state, change.position);
         return false;
     }
 
-    if (! isNew && known.change.retained && change.position == known.change.position)
+    if (! isNew && state.change.retained && change.position == state.change.position)
         return false;
 
-    const bool wasOver = isNew || known.change.over;
-    known.change = change;
+    const bool wasOver = isNew || state.change.over;
+    state.change = change;
 
     if (change.retained)
-        known.retainedAt = now;
+        state.retainedAt = now;
 
     if (! change.over)
-        known.orderRevision = change.position.revision;
+        state.lastOrderRevision = change.position.revision;
 
     return wasOver != change.over;
 }
@@ -52,16 +53,16 @@
 {
     std::vector<EvacuationChange> removed;
 
-    for (auto& [zone, known] : byZone)
+    for (auto& [zone, state] : byZone)
     {
-        auto& change = known.change;
+        auto& change = state.change;
 
         if (change.over || change.retained || change.position > position || listed.contains (zone))
             continue;
 
         if (change.position.epoch < position.epoch)
         {
-            retain (now, known, position);
+            retain (now, state, position);
             continue;
         }
 
@@ -77,14 +78,14 @@
 {
     std::vector<EvacuationChange> changed;
 
-    for (auto& [zone, known] : byZone)
+    for (auto& [zone, state] : byZone)
     {
-        if (! known.change.retained || now - known.retainedAt <= retentionTime)
+        if (! state.change.retained || now - state.retainedAt <= retentionTime)
             continue;
 
-        known.change.retained = false;
-        known.change.over = ! known.change.over;
-        changed.push_back (known.change);
+        state.change.retained = false;
+        state.change.over = ! state.change.over;
+        changed.push_back (state.change);
     }
 
     return changed;
@@ -94,9 +95,9 @@
 {
     std::vector<EvacuationChange> changes;
 
-    for (const auto& [zone, known] : byZone)
-        if (known.change.position > position)
-            changes.push_back (known.change);
+    for (const auto& [zone, state] : byZone)
+        if (state.change.position > position)
+            changes.push_back (state.change);
 
     return changes;
 }
@@ -105,8 +106,8 @@
 {
     std::set<std::string> evacuated;
 
-    for (const auto& [zone, known] : byZone)
-        if (! known.change.over)
+    for (const auto& [zone, state] : byZone)
+        if (! state.change.over)
             evacuated.insert (zone);
 
     return evacuated;
--- a/src/mesh/zone_evacuations.h
+++ b/src/mesh/zone_evacuations.h
@@ -1,5 +1,5 @@
-/** Which zones the operator has evacuated: their instances get nothing new until that is taken
-   back. Deciding code without I/O.
+/** Tracks the zones that the operator has evacuated. Instances in an evacuated zone receive no new
+    requests until the evacuation ends. Performs no I/O.
 */
 #pragma once
 
@@ -15,12 +15,12 @@
 namespace copperlead::mesh
 {
 
-/** An order to evacuate a zone, or that it was taken back. */
+/** Start or end of a zone's evacuation. */
 struct EvacuationChange
 {
     std::string zone;
     SourcePosition position;
-    bool over = false;
+    bool over = false; /**< Whether the evacuation has ended. */
 
     /** Overrides an older state of the zone that a restored source lists. */
     bool retained = false;
@@ -28,27 +28,31 @@
     bool operator== (const EvacuationChange&) const = default;
 };
 
-/** Orders that were taken back are remembered, so that those who missed it can be told. Not
-    thread-safe.
+/** The evacuation state of all zones. Ended evacuations are kept so that nodes that missed the
+    end can be informed. Not thread-safe.
 */
 class ZoneEvacuations
 {
 public:
-    /** How long a zone's state is kept after a restore lost it, unless it is written again. */
+    /** Time for which a zone's state is kept after a restore of the source has lost it, unless the
+        state is written again.
+    */
     static constexpr Milliseconds retentionTime{ 30'000 };
 
-    /** @returns true if the zone's state changed; changes older than the known do nothing */
+    /** Applies a change, unless the zone's recorded state is newer.
+        @returns true if the zone became evacuated or its evacuation ended
+    */
     bool take (Timestamp now, const EvacuationChange& change);
 
-    /** Takes back, as of `position`, the orders that a complete listing doesn't hold. Those of an
+    /** Ends, as of `position`, the evacuations that a complete listing doesn't contain. Those of an
         earlier epoch are retained, since the restore may have lost them.
-        @returns those that it took back
+        @returns the evacuations that it ended
     */
     std::vector<EvacuationChange> removeAllBut (Timestamp now, const std::set<std::string>& listed,
                                                 SourcePosition position);
 
-    /** Ends expired retentions: the zone's state is then the one that the source lists.
-        @returns the changes
+    /** Ends expired retentions, after which a zone's state is the one that the source lists.
+        @returns the resulting changes
     */
     std::vector<EvacuationChange> advance (Timestamp now);
 
@@ -57,17 +61,20 @@
     std::set<std::string> zones() const;
 
 private:
-    struct Known
+    struct ZoneState
     {
         EvacuationChange change;
-        std::uint64_t orderRevision = 0; /**< The revision of the last order, even if it is over. */
-        Timestamp retainedAt{};          /**< Valid while `change.retained`. */
+
+        /** Revision of the latest evacuation order, even if the evacuation has ended. */
+        std::uint64_t lastOrderRevision = 0;
+
+        Timestamp retainedAt{}; /**< Valid while `change.retained` is set. */
     };
 
-    static void retain (Timestamp now, Known& known, SourcePosition position);
-    static bool relistsEndedEvacuation (const Known& known, const EvacuationChange& change);
+    static void retain (Timestamp now, ZoneState& state, SourcePosition position);
+    static bool relistsEndedEvacuation (const ZoneState& state, const EvacuationChange& change);
 
-    std::map<std::string, Known> byZone;
+    std::map<std::string, ZoneState> byZone;
 };
 
 } // namespace copperlead::mesh
--- a/tests/mesh/start_window_test.cc
+++ b/tests/mesh/start_window_test.cc
@@ -13,8 +13,8 @@
 namespace
 {
 
-/** Three starts a second, until 10 s. */
-StartWindow threeASecond()
+/** A window that allows three starts per second until 10 s. */
+StartWindow threePerSecond()
 {
     StartWindow window;
     window.setMost (3);
@@ -22,7 +22,7 @@
     return window;
 }
 
-TEST (StartWindow, WithoutABoundEverythingStartsAtOnce)
+TEST (StartWindow, WithoutALimitRequestsStartImmediately)
 {
     StartWindow window;
 
@@ -35,7 +35,7 @@
 
 TEST (StartWindow, TheNextStartWaitsForTheOldestToLeaveTheWindow)
 {
-    auto window = threeASecond();
+    auto window = threePerSecond();
 
     for (const int time : { 0, 100, 200 })
     {
@@ -46,23 +46,25 @@
     EXPECT_EQ (window.earliest (at (300), 0), at (1010));
     EXPECT_EQ (window.earliest (at (300), 1), at (1110));
     EXPECT_EQ (window.earliest (at (300), 2), at (1210));
-    EXPECT_EQ (window.earliest (at (300), 3), at (2020)) << "a window behind the first of them";
+    EXPECT_EQ (window.earliest (at (300), 3), at (2020))
+        << "one window after the first pending start";
     EXPECT_EQ (window.earliest (at (1100), 0), at (1100));
 }
 
-TEST (StartWindow, PlacesThatAreFreeGoToThoseAhead)
+TEST (StartWindow, RequestsAheadUseFreeCapacityFirst)
 {
-    auto window = threeASecond();
+    auto window = threePerSecond();
     window.started (at (0));
     EXPECT_EQ (window.earliest (at (500), 0), at (500));
     EXPECT_EQ (window.earliest (at (500), 1), at (500));
     EXPECT_EQ (window.earliest (at (500), 2), at (1010));
-    EXPECT_EQ (window.earliest (at (500), 3), at (1510)) << "behind one that starts now";
+    EXPECT_EQ (window.earliest (at (500), 3), at (1510))
+        << "one window after a request that starts now";
 }
 
-TEST (StartWindow, TheBoundEndsWithTheColdTime)
+TEST (StartWindow, LimitEndsWithTheColdPeriod)
 {
-    auto window = threeASecond();
+    auto window = threePerSecond();
     window.bindUntil (at (700));
 
     for (int i = 0; i < 3; ++i)
@@ -72,7 +74,7 @@
     EXPECT_EQ (window.earliest (at (701), 9), at (701));
 }
 
-TEST (StartWindow, WhatWasStartedBeforeTheBoundCounts)
+TEST (StartWindow, StartsBeforeEnforcementCount)
 {
     StartWindow window;
     window.setMost (3);
@@ -81,21 +83,21 @@
         window.started (at (time));
 
     window.bindUntil (at (5000));
-    EXPECT_EQ (window.earliest (at (100), 0), at (1080)) << "the third last was at 70";
+    EXPECT_EQ (window.earliest (at (100), 0), at (1080)) << "the third latest start was at 70 ms";
     window.forget();
-    EXPECT_EQ (window.earliest (at (100), 0), at (100)) << "those were at another instance";
+    EXPECT_EQ (window.earliest (at (100), 0), at (100)) << "no starts are recorded";
 }
 
-TEST (StartWindow, WhatAForerunnerMayHaveStartedCounts)
+TEST (StartWindow, AssumedStartsCount)
 {
-    auto window = threeASecond();
+    auto window = threePerSecond();
     window.assumeStarted (at (0), 2);
     EXPECT_EQ (window.earliest (at (1), 0), at (1));
     window.started (at (1));
     EXPECT_EQ (window.earliest (at (2), 0), at (1010));
 }
 
-TEST (StartWindow, AQuarterHoldsNoMoreThanItsPart)
+TEST (StartWindow, QuarterWindowLimitsStarts)
 {
     StartWindow window;
     window.setMost (6);
@@ -114,24 +116,26 @@
     EXPECT_EQ (window.earliest (at (759), 0), at (1010)) << "the whole window is full";
 }
 
-TEST (StartWindow, WhatWasSentLateCountsFromThenOn)
+TEST (StartWindow, DelayedRequestCountsFromItsSending)
 {
-    auto window = threeASecond();
+    auto window = threePerSecond();
 
     for (const int time : { 0, 100, 200 })
         window.started (at (time));
 
-    window.sent (at (0), at (250)); // Its connection had to be opened first.
+    // The connection of the first request had to be opened first.
+    window.sent (at (0), at (250));
     EXPECT_EQ (window.earliest (at (300), 0), at (1110));
     EXPECT_EQ (window.earliest (at (300), 2), at (1260));
-    window.sent (at (77), at (260)); // Nothing was started then.
+    // No request was started at 77 ms, so this has no effect.
+    window.sent (at (77), at (260));
     EXPECT_EQ (window.earliest (at (300), 0), at (1110));
 }
 
-TEST (StartWindow, NoSecondHoldsMoreWhateverComes)
+TEST (StartWindow, NoSecondExceedsTheLimitWithRandomArrivals)
 {
     std::minstd_rand random (7);
-    auto window = threeASecond();
+    auto window = threePerSecond();
     std::vector<Timestamp> starts;
     auto now = at (0);
 
@@ -146,17 +150,17 @@
         now += Milliseconds (std::uniform_int_distribution<int> (0, 90) (random));
     }
 
-    ASSERT_GT (starts.size(), 20U) << "and nearly as many as may be";
+    ASSERT_GT (starts.size(), 20U) << "close to the limit of three per second";
 
     for (std::size_t i = 3; i < starts.size(); ++i)
         EXPECT_GT (starts[i] - starts[i - 3], Milliseconds (1000));
 }
 
-/** The most arrivals within a second at an instance that opens new connections one after the other,
-    1 ms each, when all that may start does: the first `most` over new connections, the others over
-    those.
+/** Starts requests as early as the window allows and returns the maximum number that arrive at the
+    instance within a second. The first `limit` requests use new connections, which are opened one
+    after another in 1 ms each; the others reuse these connections.
 */
-std::size_t mostArrivalsInASecond (StartWindow& window, std::size_t most)
+std::size_t maxArrivalsPerSecond (StartWindow& window, std::size_t limit)
 {
     std::vector<Timestamp> arrivals;
     Timestamp opened{};
@@ -165,30 +169,30 @@
         while (window.earliest (now, 0) <= now)
         {
             window.started (now);
-            const bool isNew = arrivals.size() < most;
+            const bool isNew = arrivals.size() < limit;
             opened = std::max<Timestamp> (opened, now) + Milliseconds (isNew ? 1 : 0);
             arrivals.push_back (isNew ? opened : now);
         }
 
-    std::size_t found = 0;
+    std::size_t maxArrivals = 0;
 
     for (auto first = arrivals.begin(); first != arrivals.end(); ++first)
     {
         const auto end = std::lower_bound (first, arrivals.end(), *first + Milliseconds (1000));
-        found = std::max (found, static_cast<std::size_t> (end - first));
+        maxArrivals = std::max (maxArrivals, static_cast<std::size_t> (end - first));
     }
 
-    return found;
+    return maxArrivals;
 }
 
-TEST (StartWindow, NewConnectionsThatOpenOneAfterTheOtherAddNothingToASecond)
+TEST (StartWindow, SequentiallyOpenedConnectionsStayWithinTheLimit)
 {
-    constexpr int most = 26;
+    constexpr int limit = 26;
     StartWindow window;
-    window.setMost (most);
+    window.setMost (limit);
     window.setMostInQuarter (7);
     window.bindUntil (at (10'000));
-    EXPECT_LE (mostArrivalsInASecond (window, most), std::size_t (most));
+    EXPECT_LE (maxArrivalsPerSecond (window, limit), std::size_t (limit));
 }
 
 } // namespace
--- a/tests/mesh/zone_evacuations_test.cc
+++ b/tests/mesh/zone_evacuations_test.cc
@@ -11,44 +11,44 @@
 
 using Zones = std::set<std::string>;
 
-TEST (ZoneEvacuations, AnOrderHoldsUntilItIsTakenBack)
+TEST (ZoneEvacuations, EvacuationLastsUntilItEnds)
 {
-    ZoneEvacuations known;
-    EXPECT_TRUE (known.take (at (0), { "a", revision (5), false }));
-    EXPECT_FALSE (known.take (at (0), { "a", revision (6), false })) << "given again";
-    EXPECT_TRUE (known.take (at (0), { "b", revision (7), false }));
-    EXPECT_EQ (known.zones(), (Zones{ "a", "b" }));
-    EXPECT_TRUE (known.take (at (0), { "a", revision (8), true }));
-    EXPECT_EQ (known.zones(), Zones{ "b" });
+    ZoneEvacuations evacuations;
+    EXPECT_TRUE (evacuations.take (at (0), { "a", revision (5), false }));
+    EXPECT_FALSE (evacuations.take (at (0), { "a", revision (6), false })) << "evacuated already";
+    EXPECT_TRUE (evacuations.take (at (0), { "b", revision (7), false }));
+    EXPECT_EQ (evacuations.zones(), (Zones{ "a", "b" }));
+    EXPECT_TRUE (evacuations.take (at (0), { "a", revision (8), true }));
+    EXPECT_EQ (evacuations.zones(), Zones{ "b" });
 }
 
-TEST (ZoneEvacuations, WhatComesLateChangesNothing)
+TEST (ZoneEvacuations, OlderChangesAreIgnored)
 {
-    ZoneEvacuations known;
-    EXPECT_FALSE (known.take (at (0), { "a", revision (9), true }));
-    EXPECT_FALSE (known.take (at (0), { "a", revision (5), false }));
-    EXPECT_TRUE (known.zones().empty());
+    ZoneEvacuations evacuations;
+    EXPECT_FALSE (evacuations.take (at (0), { "a", revision (9), true }));
+    EXPECT_FALSE (evacuations.take (at (0), { "a", revision (5), false }));
+    EXPECT_TRUE (evacuations.zones().empty());
 }
 
-TEST (ZoneEvacuations, AWholeListingTakesBackWhatItLacksUnlessThatIsNewer)
+TEST (ZoneEvacuations, CompleteListingEndsOlderUnlistedEvacuations)
 {
-    ZoneEvacuations known;
-    known.take (at (0), { "a", revision (5), false });
-    known.take (at (0), { "b", revision (6), false });
-    known.take (at (0), { "c", revision (12), false });
-    const auto removed = known.removeAllBut (at (0), { "b" }, revision (10));
+    ZoneEvacuations evacuations;
+    evacuations.take (at (0), { "a", revision (5), false });
+    evacuations.take (at (0), { "b", revision (6), false });
+    evacuations.take (at (0), { "c", revision (12), false });
+    const auto removed = evacuations.removeAllBut (at (0), { "b" }, revision (10));
     ASSERT_EQ (removed.size(), 1U);
     EXPECT_EQ (removed[0], (EvacuationChange{ "a", revision (10), true }));
-    EXPECT_EQ (known.zones(), (Zones{ "b", "c" }));
+    EXPECT_EQ (evacuations.zones(), (Zones{ "b", "c" }));
 }
 
-TEST (ZoneEvacuations, OthersAreToldAlsoOfOrdersThatWereTakenBack)
+TEST (ZoneEvacuations, ChangesIncludeEndedEvacuations)
 {
-    ZoneEvacuations known;
-    known.take (at (0), { "a", revision (5), false });
-    known.take (at (0), { "b", revision (6), false });
-    known.take (at (0), { "a", revision (8), true });
-    const auto changes = known.changesSince (revision (6));
+    ZoneEvacuations evacuations;
+    evacuations.take (at (0), { "a", revision (5), false });
+    evacuations.take (at (0), { "b", revision (6), false });
+    evacuations.take (at (0), { "a", revision (8), true });
+    const auto changes = evacuations.changesSince (revision (6));
     ASSERT_EQ (changes.size(), 1U);
     EXPECT_EQ (changes[0], (EvacuationChange{ "a", revision (8), true }));
 }
