--- a/src/mesh/subscription.cc
+++ b/src/mesh/subscription.cc
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr std::uint32_t subscriptionMark = 0x636f7073; // Tells these from beats.
+constexpr std::uint32_t subscriptionTag = 0x636f7073; // Distinguishes them from heartbeats.
 
 } // namespace
 
@@ -23,37 +23,37 @@
 
 std::string encode (const Subscription& subscription)
 {
-    return encodeDatagram (subscriptionMark, subscription);
+    return encodeDatagram (subscriptionTag, subscription);
 }
 
 std::optional<Subscription> decodeSubscription (std::string_view bytes)
 {
-    return decodeDatagram<Subscription> (subscriptionMark, bytes);
+    return decodeDatagram<Subscription> (subscriptionTag, bytes);
 }
 
 SubscriptionSendings Subscriptions::due (Timestamp now, const std::vector<std::string>& zonePeers)
 {
-    const bool heard = knowsReader (now);
+    const bool readerKnown = knowsReader (now);
 
-    const auto interval = heard ? renewalInterval : retryInterval;
+    const auto interval = readerKnown ? renewalInterval : retryInterval;
 
-    if ((sentAt && now - *sentAt < interval) || (! heard && zonePeers.empty()))
+    if ((sentAt && now - *sentAt < interval) || (! readerKnown && zonePeers.empty()))
         return {};
 
     sentAt = now;
 
-    if (heard)
+    if (readerKnown)
         return { { readerIp, {} } };
 
-    std::vector<std::string> drawn;
-    std::sample (zonePeers.begin(), zonePeers.end(), std::back_inserter (drawn), askedAtOnce,
+    std::vector<std::string> recipients;
+    std::sample (zonePeers.begin(), zonePeers.end(), std::back_inserter (recipients), askedAtOnce,
                  random);
-    SubscriptionSendings sendings;
+    SubscriptionSendings requests;
 
-    for (auto& ip : drawn)
-        sendings.push_back ({ std::move (ip), {} });
+    for (auto& ip : recipients)
+        requests.push_back ({ std::move (ip), {} });
 
-    return sendings;
+    return requests;
 }
 
 SubscriptionSendings Subscriptions::heardReader (Timestamp now, const std::string& ip,
@@ -61,35 +61,35 @@
 {
     readerIp = ip;
     heardAt = now;
-    return isReading ? SubscriptionSendings() : passOn (now);
+    return isReading ? SubscriptionSendings() : forwardToReader (now);
 }
 
 SubscriptionSendings Subscriptions::take (Timestamp now, const std::string& ip, bool isReading)
 {
-    if (untilByIp.size() < most || untilByIp.contains (ip))
-        untilByIp[ip] = now + lifetime;
+    if (expiryByIp.size() < most || expiryByIp.contains (ip))
+        expiryByIp[ip] = now + lifetime;
 
-    return isReading || ! knowsReader (now) ? SubscriptionSendings() : passOn (now);
+    return isReading || ! knowsReader (now) ? SubscriptionSendings() : forwardToReader (now);
 }
 
-SubscriptionSendings Subscriptions::passOn (Timestamp now)
+SubscriptionSendings Subscriptions::forwardToReader (Timestamp now)
 {
-    SubscriptionSendings sendings;
+    SubscriptionSendings requests;
 
     for (const auto& ip : subscribers (now))
         if (ip != readerIp)
-            sendings.push_back ({ readerIp, ip });
+            requests.push_back ({ readerIp, ip });
 
-    untilByIp.clear();
-    return sendings;
+    expiryByIp.clear();
+    return requests;
 }
 
 std::vector<std::string> Subscriptions::subscribers (Timestamp now)
 {
-    std::erase_if (untilByIp, [&] (const auto& item) { return now >= item.second; });
+    std::erase_if (expiryByIp, [&] (const auto& item) { return now >= item.second; });
     std::vector<std::string> ips;
 
-    for (const auto& [ip, until] : untilByIp)
+    for (const auto& [ip, expiry] : expiryByIp)
         ips.push_back (ip);
 
     return ips;
--- a/src/mesh/subscription.h
+++ b/src/mesh/subscription.h
@@ -1,13 +1,14 @@
-/** How a node whose instance isn't listed (yet) gets to hear the reader of its zone, which tells
-    those beside listed instances: it subscribes to the reader's beats. Deciding code without I/O.
+/** Subscriptions to the heartbeats of a zone's reader, the node that reads the source for its zone.
+    The reader sends heartbeats to the nodes of listed instances; a node whose instance isn't listed
+    subscribes to them instead. Performs no I/O.
 
-    In a fleet that starts together nobody is listed at first, and entries appear over seconds: the
-    more nodes, the longer. Were each to read the source itself meanwhile, a start would cost calls
-    in proportion to the nodes and to the time that their listing takes.
+    When a whole fleet starts at once, no instance is listed at first, and the time until all are
+    listed grows with the number of nodes. If each node read the source itself in the meantime, the
+    number of calls would be proportional to the number of nodes times that period.
 
-    A node that doesn't know who reads sends its subscription to some listed nodes of its zone; who
-    doesn't read passes it on to the reader as soon as it hears one. Subscriptions lapse unless they
-    are renewed.
+    A node that doesn't know the reader sends its subscription to several listed nodes of its zone.
+    A recipient that isn't the reader forwards it as soon as it has received a heartbeat from the
+    reader. Subscriptions expire unless they are renewed.
 */
 #pragma once
 
@@ -24,44 +25,50 @@
 namespace copperlead::mesh
 {
 
-/** Sent as a datagram. */
+/** A subscription request, sent as a datagram. */
 struct Subscription
 {
     std::string zone;
-    std::string ip; /**< Where beats go; empty: to the sender. */
+    std::string ip; /**< Destination of the heartbeats; empty means the sender. */
 };
 
 std::string encode (const Subscription& subscription);
 
-/** @returns nothing for a datagram that is none */
+/** @returns nullopt when the datagram isn't a valid subscription */
 std::optional<Subscription> decodeSubscription (std::string_view bytes);
 
-/** A subscription to send. */
+/** A subscription request that is to be sent. */
 struct SubscriptionSending
 {
-    std::string to;
-    std::string subscriber; /**< Empty: this node itself. */
+    std::string to;         /**< IP of the recipient. */
+    std::string subscriber; /**< IP of the subscriber; empty means this node. */
 
     bool operator== (const SubscriptionSending&) const = default;
 };
 
 using SubscriptionSendings = std::vector<SubscriptionSending>;
 
-/** One node's subscription, and those that it holds for others. Not thread-safe. */
+/** A node's own subscription and the subscriptions that it has received. Not thread-safe. */
 class Subscriptions
 {
 public:
-    /** Some of which don't know the reader yet, or miss the datagram. */
+    /** Number of nodes to contact per attempt while the reader is unknown. Some of them may not
+        know the reader either, or may not receive the datagram.
+    */
     static constexpr std::size_t askedAtOnce = 3;
 
-    /** A reader beats four times a second: one that was silent for so long no longer is one. */
+    /** Time after the last heartbeat at which a node no longer counts as the reader. Heartbeats are
+        sent four times a second.
+    */
     static constexpr Milliseconds readerMemory{ 600 };
 
-    static constexpr Milliseconds retryInterval{ 500 };    /**< While no reader is heard. */
-    static constexpr Milliseconds renewalInterval{ 2000 }; /**< To the reader that is heard. */
-    static constexpr Milliseconds lifetime{ 5000 };        /**< Two renewals may be lost. */
+    static constexpr Milliseconds retryInterval{ 500 };    /**< While no reader is known. */
+    static constexpr Milliseconds renewalInterval{ 2000 }; /**< While a reader is known. */
+    static constexpr Milliseconds lifetime{ 5000 };        /**< Allows for two lost renewals. */
 
-    /** Those beyond are turned away: more nodes than a zone may have. */
+    /** Maximum number of subscribers, above the number of nodes that a zone may have. Further ones
+        are rejected.
+    */
     static constexpr std::size_t most = 4096;
 
     explicit Subscriptions (std::uint64_t seed)
@@ -69,32 +76,36 @@
     {
     }
 
-    /** What a node that isn't listed sends for itself now; counts as done. */
+    /** For a node that isn't listed, returns the requests to send for itself now, if any are due.
+        They are assumed to be sent.
+    */
     SubscriptionSendings due (Timestamp now, const std::vector<std::string>& zonePeers);
 
-    /** A sound reader of the zone beats.
-        @param isReading  this node reads as well
-        @returns what that reader is told instead of this node
+    /** Handles a heartbeat from a healthy reader of the zone.
+        @param isReading  whether this node is a reader as well
+        @returns the subscriptions to forward to that reader
     */
     SubscriptionSendings heardReader (Timestamp now, const std::string& ip, bool isReading);
 
-    /** Takes a node's subscription. @returns what is passed on at once */
+    /** Adds or renews a node's subscription.
+        @returns the subscriptions to forward immediately
+    */
     SubscriptionSendings take (Timestamp now, const std::string& ip, bool isReading);
 
-    /** Who is to hear this node's beats. */
+    /** IPs of the subscribers to this node's heartbeats. Removes expired subscriptions. */
     std::vector<std::string> subscribers (Timestamp now);
 
-    /** True while some reader of the zone was heard lately. */
+    /** Whether a reader of the zone sent a heartbeat within the last `readerMemory`. */
     bool knowsReader (Timestamp now) const { return heardAt && now - *heardAt <= readerMemory; }
 
 private:
-    SubscriptionSendings passOn (Timestamp now);
+    SubscriptionSendings forwardToReader (Timestamp now);
 
     std::minstd_rand random;
     std::string readerIp;
-    std::optional<Timestamp> heardAt; /**< The reader. */
-    std::optional<Timestamp> sentAt;
-    std::map<std::string, Timestamp> untilByIp;
+    std::optional<Timestamp> heardAt; /**< Time of the reader's last heartbeat. */
+    std::optional<Timestamp> sentAt;  /**< Time of this node's last own request. */
+    std::map<std::string, Timestamp> expiryByIp;
 };
 
 } // namespace copperlead::mesh
--- a/tests/mesh/subscription_test.cc
+++ b/tests/mesh/subscription_test.cc
@@ -12,7 +12,7 @@
 
 const std::vector<std::string> peers{ "10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4" };
 
-TEST (Subscriptions, WithoutAReaderSomePeersAreAskedTwiceASecond)
+TEST (Subscriptions, WithoutAReaderSomePeersAreContactedTwiceASecond)
 {
     Subscriptions subscriptions (1);
     EXPECT_EQ (subscriptions.due (at (0), peers).size(), Subscriptions::askedAtOnce);
@@ -20,14 +20,14 @@
     EXPECT_EQ (subscriptions.due (at (500), peers).size(), Subscriptions::askedAtOnce);
 }
 
-TEST (Subscriptions, WithoutPeersNobodyIsAsked)
+TEST (Subscriptions, WithoutPeersNothingIsSent)
 {
     Subscriptions subscriptions (1);
     EXPECT_TRUE (subscriptions.due (at (0), {}).empty());
     EXPECT_EQ (subscriptions.due (at (10), { "10.0.0.1" }).size(), 1U) << "as soon as one is known";
 }
 
-TEST (Subscriptions, TheReaderThatIsHeardIsAskedAloneAndSeldom)
+TEST (Subscriptions, KnownReaderGetsRenewalsOnly)
 {
     Subscriptions subscriptions (1);
     subscriptions.heardReader (at (0), "10.0.0.9", false);
@@ -38,7 +38,7 @@
     EXPECT_EQ (subscriptions.due (at (2000), peers), toReader);
 }
 
-TEST (Subscriptions, AReaderThatFellSilentIsForgotten)
+TEST (Subscriptions, SilentReaderTimesOut)
 {
     Subscriptions subscriptions (1);
     subscriptions.heardReader (at (0), "10.0.0.9", false);
@@ -46,16 +46,16 @@
     EXPECT_EQ (subscriptions.due (at (700), peers).size(), Subscriptions::askedAtOnce);
 }
 
-TEST (Subscriptions, WhatIsTakenBeforeAReaderIsHeardIsPassedOnOnce)
+TEST (Subscriptions, SubscriptionsReceivedBeforeAHeartbeatAreForwardedOnce)
 {
     Subscriptions subscriptions (1);
     EXPECT_TRUE (subscriptions.take (at (0), "10.0.0.7", false).empty());
-    const auto passedOn = subscriptions.heardReader (at (100), "10.0.0.9", false);
-    EXPECT_EQ (passedOn, (SubscriptionSendings{ { "10.0.0.9", "10.0.0.7" } }));
+    const auto forwarded = subscriptions.heardReader (at (100), "10.0.0.9", false);
+    EXPECT_EQ (forwarded, (SubscriptionSendings{ { "10.0.0.9", "10.0.0.7" } }));
     EXPECT_TRUE (subscriptions.heardReader (at (350), "10.0.0.9", false).empty());
 }
 
-TEST (Subscriptions, WhatIsTakenLaterIsPassedOnAtOnce)
+TEST (Subscriptions, SubscriptionsReceivedAfterAHeartbeatAreForwardedImmediately)
 {
     Subscriptions subscriptions (1);
     subscriptions.heardReader (at (0), "10.0.0.9", false);
@@ -64,14 +64,14 @@
     EXPECT_TRUE (subscriptions.subscribers (at (10)).empty());
 }
 
-TEST (Subscriptions, NobodySubscribesToItself)
+TEST (Subscriptions, ReaderIsNotSubscribedToItself)
 {
     Subscriptions subscriptions (1);
     subscriptions.heardReader (at (0), "10.0.0.9", false);
     EXPECT_TRUE (subscriptions.take (at (10), "10.0.0.9", false).empty());
 }
 
-TEST (Subscriptions, AReaderKeepsItsSubscribersUntilTheyLapseOrItStepsDown)
+TEST (Subscriptions, ReaderKeepsSubscribersUntilTheyExpireOrItStopsReading)
 {
     Subscriptions subscriptions (1);
     EXPECT_TRUE (subscriptions.take (at (0), "10.0.0.7", true).empty());
@@ -83,7 +83,7 @@
                (SubscriptionSendings{ { "10.0.0.9", "10.0.0.8" } }));
 }
 
-TEST (Subscriptions, NoMoreAreHeldThanAZoneMayHave)
+TEST (Subscriptions, NumberOfSubscribersIsLimited)
 {
     Subscriptions subscriptions (1);
 
@@ -93,13 +93,13 @@
     EXPECT_EQ (subscriptions.subscribers (at (1)).size(), Subscriptions::most);
 }
 
-TEST (Subscriptions, ADatagramIsReadAsWhatItIs)
+TEST (Subscriptions, DecodingRejectsOtherAndTruncatedDatagrams)
 {
     const auto bytes = encode (Subscription{ "z1", "10.0.0.7" });
-    const auto read = decodeSubscription (bytes);
-    ASSERT_TRUE (read);
-    EXPECT_EQ (read->zone, "z1");
-    EXPECT_EQ (read->ip, "10.0.0.7");
+    const auto decoded = decodeSubscription (bytes);
+    ASSERT_TRUE (decoded);
+    EXPECT_EQ (decoded->zone, "z1");
+    EXPECT_EQ (decoded->ip, "10.0.0.7");
     EXPECT_FALSE (decodeReaderBeat (bytes));
     EXPECT_FALSE (decodeSubscription (encode (ReaderBeat{})));
     EXPECT_FALSE (decodeSubscription (bytes.substr (0, bytes.size() - 1)));
