--- a/src/mesh/tenant_quotas.cc
+++ b/src/mesh/tenant_quotas.cc
@@ -12,7 +12,9 @@
 
 constexpr Milliseconds reportInterval{ 1000 };
 
-/** Pings that carry the digests, as many as fit into each; one without any when there are none. */
+/** Encodes the digests as pings with at most `mostDigests` each. Without digests, there is a single
+    empty ping.
+*/
 std::vector<std::string> pingDatagrams (const std::vector<CandidatesDigest>& digests)
 {
     std::vector<std::string> datagrams;
@@ -68,7 +70,7 @@
     return routes == nullptr ? nullptr : routes->tenants().named (name);
 }
 
-TenantQuotas::TenantState& TenantQuotas::stateOf (const std::string& tenant)
+TenantQuotas::TenantState& TenantQuotas::stateFor (const std::string& tenant)
 {
     auto& state = byTenant[tenant];
 
@@ -83,8 +85,8 @@
     if (! tenant.quota.limits())
         return callback ({});
 
-    const auto name = tenant.name; // The callback may let the configuration go.
-    auto& state = stateOf (name);
+    const auto name = tenant.name; // The callback may release the configuration.
+    auto& state = stateFor (name);
     const auto step = state.lease.take (now);
 
     if (step == QuotaStep::wait)
@@ -95,8 +97,8 @@
     askIfNeeded (now, name);
 }
 
-void TenantQuotas::pass (Timestamp now, const Waiting& waiting, TenantState& state, bool passed,
-                         bool alone)
+void TenantQuotas::pass (Timestamp now, const PendingRequest& waiting, TenantState& state,
+                         bool passed, bool alone)
 {
     if (waiting.since != Timestamp{})
         counts.waited.observe (toMilliseconds (now - waiting.since));
@@ -112,7 +114,7 @@
         ++(passed ? state.use.passed : state.use.refused);
     }
 
-    reportSoon (now);
+    scheduleReport (now);
 
     ++(passed ? state.passed : state.refused);
 
@@ -154,21 +156,22 @@
         ++counts.returned;
         ++found->second.use.returned;
         found->second.lease.giveBack (now, lapsesAt);
-        reportSoon (now);
+        scheduleReport (now);
     }
 }
 
-QuotaGrant TenantQuotas::keep (Timestamp now, const QuotaAsk& ask, const std::string& ip)
+QuotaGrant TenantQuotas::answerAsk (Timestamp now, const QuotaAsk& ask, const std::string& ip)
 {
     const auto* known = tenantNamed (ask.tenant);
     Tenant tenant;
     tenant.name = ask.tenant;
-    // Another version may run here, which lacks the tenant or its limit; who asks knows it then.
+    // This node's configuration version may lack the tenant or its limit, so the quota that the
+    // asking node sent is used instead.
     tenant.quota = known != nullptr && known->quota.limits() ? known->quota : ask.quota;
     auto grant = keeper.ask (now, tenant, ask, ip);
-    reportSoon (now);
+    scheduleReport (now);
 
-    // One that has just become a keeper has to know at once whom it reaches.
+    // A node that has just become a keeper must find out immediately which nodes it can reach.
     if (pingAt == Timestamp::max() || keeper.hasBegun())
         ping (now);
 
@@ -189,15 +192,15 @@
 Timestamp TenantQuotas::nextDue() const
 {
     const auto due = std::min (pingAt, reportAt);
-    return answersDue.empty() ? due : std::min (due, answersDue.begin()->first);
+    return answerTimeouts.empty() ? due : std::min (due, answerTimeouts.begin()->first);
 }
 
 void TenantQuotas::advance (Timestamp now)
 {
-    while (! answersDue.empty() && answersDue.begin()->first <= now)
+    while (! answerTimeouts.empty() && answerTimeouts.begin()->first <= now)
     {
-        const auto due = answersDue.extract (answersDue.begin()).value();
-        giveUpAnswer (now, due.second);
+        const auto due = answerTimeouts.extract (answerTimeouts.begin()).value();
+        onAnswerTimeout (now, due.second);
     }
 
     if (pingAt <= now)
@@ -207,7 +210,7 @@
         report();
 }
 
-void TenantQuotas::reportSoon (Timestamp now)
+void TenantQuotas::scheduleReport (Timestamp now)
 {
     if (reportAt == Timestamp::max())
         reportAt = now + reportInterval;
@@ -230,12 +233,12 @@
         hooks.kept (tenant, keeping);
 }
 
-QuotaPing TenantQuotas::replyTo (const QuotaPing& ping)
+QuotaPing TenantQuotas::makePingReply (const QuotaPing& ping)
 {
     QuotaPing reply{ true, {} };
 
-    for (const auto& asked : ping.digests)
-        reply.digests.push_back (keeper.digestFor (asked.tenant));
+    for (const auto& queried : ping.digests)
+        reply.digests.push_back (keeper.digestFor (queried.tenant));
 
     return reply;
 }
@@ -244,19 +247,19 @@
 {
     if (const auto ask = decodeQuotaAsk (datagram))
     {
-        // A node that has just started doesn't know whose keeper it is, and mustn't be taken for a
-        // keeper that lives: it says nothing, so that another stands in.
+        // A node without a configuration doesn't know the quotas and must not be taken for a live
+        // keeper. It doesn't answer, so that another node takes over.
         if (! isConfigured())
             return true;
 
         keeper.heard (now, ip);
-        hooks.send (ip, encode (keep (now, *ask, ip)));
+        hooks.send (ip, encode (answerAsk (now, *ask, ip)));
         return true;
     }
 
     if (const auto grant = decodeQuotaGrant (datagram))
     {
-        takeGrant (now, ip, *grant);
+        receiveGrant (now, ip, *grant);
         return true;
     }
 
@@ -265,10 +268,10 @@
         keeper.heard (now, ip);
 
         if (ping->isReply)
-            for (const auto& told : ping->digests)
-                keeper.heardDigest (now, ip, told);
+            for (const auto& digest : ping->digests)
+                keeper.heardDigest (now, ip, digest);
         else if (isConfigured())
-            hooks.send (ip, encode (replyTo (*ping)));
+            hooks.send (ip, encode (makePingReply (*ping)));
 
         return true;
     }
--- a/src/mesh/tenant_quotas.h
+++ b/src/mesh/tenant_quotas.h
@@ -1,6 +1,6 @@
-/** Holds the requests of this node's clients to their tenants' quotas, which hold over all nodes:
-   asks the keepers of the quotas for room, and keeps those of some tenants for others. Of the
-   reactor's thread.
+/** Enforces tenants' quotas, which apply to the sum over all nodes, on the requests of this node's
+    clients. It asks each quota's keeper, the node that grants the quota, for permission, and is
+    itself the keeper for some tenants. Used on the reactor's thread only.
 */
 #pragma once
 
@@ -26,57 +26,61 @@
 namespace copperlead::mesh
 {
 
-/** A node is alone with a tenant's requests. */
+/** Details of a fallback to this node's local share of a tenant's quota, for the log. */
 struct QuotaSolitude
 {
     std::string tenant;
-    std::size_t waiting = 0; /**< Requests that are decided by this node's part. */
-    std::size_t tried = 0;   /**< Nodes that were asked in vain. */
-    std::size_t nodes = 0;   /**< That are listed. */
-    double perSecond = 0;    /**< Of the tenant's requests, here. */
+    std::size_t waiting = 0; /**< Requests decided by this node's share of the quota. */
+    std::size_t tried = 0;   /**< Nodes that were asked without success. */
+    std::size_t nodes = 0;   /**< Listed nodes. */
+    double perSecond = 0;    /**< Rate of the tenant's requests at this node. */
 };
 
-/** What the quotas need of their node. */
+/** Callbacks to the node that owns the quotas. */
 struct TenantQuotaHooks
 {
-    /** Sends a datagram to the node at an IP. */
+    /** Sends a datagram to the node with the given IP. */
     std::function<void (const std::string& ip, const std::string& bytes)> send;
 
-    /** No keeper of a tenant's quota could be reached. */
+    /** Called when no keeper of a tenant's quota could be reached. */
     std::function<void (const QuotaSolitude&)> alone;
 
-    /** About once a second for each tenant with requests, and for each whose quota is kept here. */
+    /** Called about once a second for each tenant with requests at this node. */
     std::function<void (const std::string& tenant, const QuotaUse&)> used;
+
+    /** Called about once a second for each tenant whose quota this node grants. */
     std::function<void (const std::string& tenant, const QuotaKeeping&)> kept;
 };
 
-/** Counted since the start. */
+/** Totals since the start. */
 struct TenantQuotaCounters
 {
-    std::uint64_t passed = 0, refused = 0;           /**< Requests, by a keeper's grant. */
-    std::uint64_t passedAlone = 0, refusedAlone = 0; /**< While no keeper could be reached. */
-    std::uint64_t asks = 0, unanswered = 0;          /**< Datagrams to keepers. */
-    std::uint64_t returned = 0; /**< Requests that were passed and didn't run. */
-    LatencyHistogram waited;    /**< Of requests that waited for a keeper's answer. */
+    std::uint64_t passed = 0, refused = 0; /**< Requests decided by a keeper. */
+
+    /** Requests decided while no keeper could be reached. */
+    std::uint64_t passedAlone = 0, refusedAlone = 0;
+    std::uint64_t asks = 0, unanswered = 0; /**< Datagrams sent to keepers. */
+    std::uint64_t returned = 0;             /**< Requests that were passed but not executed. */
+    LatencyHistogram waited; /**< Times that requests waited for a keeper's answer. */
 };
 
-/** One tenant's requests at this node since it was first seen here. */
+/** One tenant's request counts since this node first saw the tenant. */
 struct TenantUse
 {
     std::string tenant;
     std::uint64_t passed = 0, refused = 0;
 };
 
-/** Not thread-safe. */
+/** Decides whether tenants' requests are within their quotas. Not thread-safe. */
 class TenantQuotas
 {
 public:
-    /** Whether a request may go on; when not, by whose count. */
+    /** The decision on a request, and the node that made it. */
     struct Verdict
     {
         bool passed = true;
-        std::string keeper;   /**< IP; empty: this node's part, since no keeper was reached. */
-        Timestamp lapsesAt{}; /**< For giveBack(). */
+        std::string keeper;   /**< IP; empty when no keeper was reached and this node decided. */
+        Timestamp lapsesAt{}; /**< Expiry of the grant, to be passed to giveBack(). */
     };
 
     using Callback = std::function<void (const Verdict&)>;
@@ -87,95 +91,100 @@
     void setRoutes (std::shared_ptr<const RouteTable> newRoutes);
     void setDirectory (const DirectorySnapshot& directory);
 
-    /** Asks whether a request of a tenant may go on. The callback may come before this returns. */
+    /** Decides on a tenant's request. The callback may be invoked before this returns. */
     void take (Timestamp now, const Tenant& tenant, Callback callback);
 
-    /** A request that was passed has not run after all.
-        @param lapsesAt  as the verdict said
+    /** Returns the grant of a request that was passed but not executed.
+        @param lapsesAt  the value from the verdict
     */
     void giveBack (Timestamp now, const std::string& tenant, Timestamp lapsesAt);
 
-    /** @returns false when the datagram is none of the quotas' */
+    /** Handles a received datagram.
+        @returns false when it isn't a quota message
+    */
     bool receive (Timestamp now, const std::string& ip, std::string_view datagram);
 
-    /** Gives up answers that don't come and pings. To be called at nextDue(). */
+    /** Handles answer timeouts, pings and reports that are due. To be called at nextDue(). */
     void advance (Timestamp now);
 
-    /** The largest time when nothing is to be done. */
+    /** Time of the next call to advance(), or Timestamp::max() when nothing is pending. */
     Timestamp nextDue() const;
 
     const TenantQuotaCounters& counters() const { return counts; }
 
-    /** The tenants with the most requests here, and one row without a name for all others. */
+    /** Request counts of the `most` busiest tenants at this node. If there are more tenants, a last
+        entry without a name has the sum of the others.
+    */
     std::vector<TenantUse> uses (std::size_t most) const;
     const QuotaKeeperCounters& keeperCounters() const { return keeper.counters(); }
 
 private:
     /** A request that waits for a keeper's answer. */
-    struct Waiting
+    struct PendingRequest
     {
         Callback callback;
         Timestamp since{};
     };
 
-    /** An ask that is under way, with what was tried before. */
-    struct Asking
+    /** The ask that is awaiting an answer, and the keepers tried so far. */
+    struct CurrentAsk
     {
-        std::uint64_t number = 0; /**< 0: none is. */
+        std::uint64_t number = 0; /**< 0 when there is none. */
         std::uint32_t wanted = 0, returned = 0;
         Quota quota;
         std::string ip;
-        int sent = 0;
-        Timestamp dueAt{}; /**< When its answer is given up. */
+        int sent = 0;          /**< Number of times sent. */
+        Timestamp timeoutAt{}; /**< When the answer times out. */
         bool redirected = false;
         std::vector<std::string> tried;
     };
 
-    /** An ask that was sent, kept for a while, also when it isn't waited for any more: what is
-       granted late may still be used.
+    /** An ask that was sent. It is kept for a while even after its answer has timed out, since a
+        late grant can still be used.
     */
     struct SentAsk
     {
         std::string tenant, ip;
         Timestamp sentAt{};
-        int sent = 0; /**< How often. */
+        int sent = 0; /**< Number of times sent. */
     };
 
     struct TenantState
     {
         QuotaLease lease;
-        std::deque<Waiting> waiting;
+        std::deque<PendingRequest> waiting;
         std::vector<QuotaNode> candidates;
         bool hasCandidates = false;
         std::string lastKeeper; /**< IP of the keeper that answered last. */
         std::uint64_t passed = 0, refused = 0;
-        QuotaUse use; /**< Since the last report. */
-        Asking asking;
+        QuotaUse use; /**< Counts since the last report. */
+        CurrentAsk currentAsk;
     };
 
     const Tenant* tenantNamed (const std::string& name) const;
-    TenantState& stateOf (const std::string& tenant);
+    TenantState& stateFor (const std::string& tenant);
     void askIfNeeded (Timestamp now, const std::string& tenant);
-    void askNext (Timestamp now, const std::string& tenant, TenantState& state);
-    void askAt (Timestamp now, const std::string& tenant, TenantState& state,
-                const std::string& ip);
-    static QuotaAsk askOf (const std::string& tenant, const TenantState& state);
+    void askNextKeeper (Timestamp now, const std::string& tenant, TenantState& state);
+    void askKeeper (Timestamp now, const std::string& tenant, TenantState& state,
+                    const std::string& ip);
+    static QuotaAsk makeAsk (const std::string& tenant, const TenantState& state);
     void sendAsk (Timestamp now, const std::string& tenant, TenantState& state);
-    void giveUpAnswer (Timestamp now, const std::string& tenant);
-    void takeGrant (Timestamp now, const std::string& ip, const QuotaGrant& grant);
-    void onGrant (Timestamp now, const std::string& tenant, const QuotaGrant& grant);
-    void passAll (Timestamp now, TenantState& state);
-    void passGranted (Timestamp now, TenantState& state, bool refuseOthers);
-    void forgetOldAsks (Timestamp now);
-    void goAlone (Timestamp now, const std::string& tenant, TenantState& state);
-    QuotaGrant keep (Timestamp now, const QuotaAsk& ask, const std::string& ip);
-    void pass (Timestamp now, const Waiting& waiting, TenantState& state, bool passed, bool alone);
+    void onAnswerTimeout (Timestamp now, const std::string& tenant);
+    void receiveGrant (Timestamp now, const std::string& ip, const QuotaGrant& grant);
+    void applyGrant (Timestamp now, const std::string& tenant, const QuotaGrant& grant);
+    void admitAll (Timestamp now, TenantState& state);
+    void admitGranted (Timestamp now, TenantState& state, bool refuseRemaining);
+    void dropExpiredAsks (Timestamp now);
+    void decideLocally (Timestamp now, const std::string& tenant, TenantState& state);
+    QuotaGrant answerAsk (Timestamp now, const QuotaAsk& ask, const std::string& ip);
+    void pass (Timestamp now, const PendingRequest& waiting, TenantState& state, bool passed,
+               bool alone);
     void ping (Timestamp now);
-    QuotaPing replyTo (const QuotaPing& ping);
+    QuotaPing makePingReply (const QuotaPing& ping);
 
-    /** Whether this node can say whose keeper it is. */
+    /** Whether this node has a configuration, without which it doesn't know the tenants' quotas. */
     bool isConfigured() const { return routes != nullptr; }
-    void reportSoon (Timestamp now);
+    void scheduleReport (Timestamp now);
     void report();
 
     QuotaNode own;
@@ -187,8 +196,8 @@
     std::minstd_rand random;
     std::unordered_map<std::string, TenantState> byTenant;
     AnswerTime answerTime;
-    std::map<std::uint64_t, SentAsk> sentAsks;              /**< By number. */
-    std::set<std::pair<Timestamp, std::string>> answersDue; /**< Of tenants. */
+    std::map<std::uint64_t, SentAsk> sentAsks;                  /**< Keyed by ask number. */
+    std::set<std::pair<Timestamp, std::string>> answerTimeouts; /**< With the tenant's name. */
     std::uint64_t lastNumber = 0;
     Timestamp pingAt = Timestamp::max();
     Timestamp reportAt = Timestamp::max();
--- a/src/mesh/tenant_quotas_asks.cc
+++ b/src/mesh/tenant_quotas_asks.cc
@@ -1,4 +1,6 @@
-/** How a node asks keepers for grants, and what it does with their answers or without any. */
+/** The part of TenantQuotas that asks keepers for grants, handles their answers, and decides
+    locally when no keeper answers.
+*/
 #include <algorithm>
 #include <utility>
 
@@ -11,16 +13,16 @@
 namespace
 {
 
-constexpr Milliseconds lateAnswerTime{ 1000 }; // In which an answer is still of use.
-constexpr int mostSent = 2; // Of one ask to one node: a datagram is lost now and then.
+constexpr Milliseconds sentAskLifetime{ 1000 }; // Late answers are accepted within this time.
+constexpr int maxSends = 2; // An ask is sent twice to a node, since a datagram may be lost.
 
 } // namespace
 
 void TenantQuotas::askIfNeeded (Timestamp now, const std::string& tenant)
 {
-    auto& state = stateOf (tenant);
+    auto& state = stateFor (tenant);
 
-    if (state.asking.number != 0)
+    if (state.currentAsk.number != 0)
         return;
 
     const auto wanted = state.lease.wanted (now, state.waiting.size());
@@ -29,67 +31,67 @@
     if (wanted == 0)
         return;
 
-    // A version that came meanwhile took the limit away.
+    // A newer configuration version has removed the limit.
     if (known == nullptr || ! known->quota.limits())
-        return passAll (now, state);
+        return admitAll (now, state);
 
-    state.asking = {};
-    state.asking.wanted = wanted;
-    state.asking.quota = known->quota;
-    state.asking.returned = state.lease.takeLapsed (now);
-    askNext (now, tenant, state);
+    state.currentAsk = {};
+    state.currentAsk.wanted = wanted;
+    state.currentAsk.quota = known->quota;
+    state.currentAsk.returned = state.lease.takeLapsed (now);
+    askNextKeeper (now, tenant, state);
 }
 
-void TenantQuotas::askNext (Timestamp now, const std::string& tenant, TenantState& state)
+void TenantQuotas::askNextKeeper (Timestamp now, const std::string& tenant, TenantState& state)
 {
-    const auto* node = choice.next (now, state.candidates, state.asking.tried);
+    const auto* node = choice.next (now, state.candidates, state.currentAsk.tried);
 
     if (node == nullptr)
-        return goAlone (now, tenant, state);
+        return decideLocally (now, tenant, state);
 
-    askAt (now, tenant, state, node->ip);
+    askKeeper (now, tenant, state, node->ip);
 }
 
-QuotaAsk TenantQuotas::askOf (const std::string& tenant, const TenantState& state)
+QuotaAsk TenantQuotas::makeAsk (const std::string& tenant, const TenantState& state)
 {
-    const auto& asking = state.asking;
-    return { asking.number,   tenant,       asking.wanted,
-             asking.returned, asking.quota, digestOf (state.candidates) };
+    const auto& currentAsk = state.currentAsk;
+    return { currentAsk.number,   tenant,           currentAsk.wanted,
+             currentAsk.returned, currentAsk.quota, digestOf (state.candidates) };
 }
 
-void TenantQuotas::askAt (Timestamp now, const std::string& tenant, TenantState& state,
-                          const std::string& ip)
+void TenantQuotas::askKeeper (Timestamp now, const std::string& tenant, TenantState& state,
+                              const std::string& ip)
 {
-    auto& asking = state.asking;
-    asking.ip = ip;
-    asking.sent = 0;
-    asking.tried.push_back (ip);
-    asking.number = ++lastNumber;
+    auto& currentAsk = state.currentAsk;
+    currentAsk.ip = ip;
+    currentAsk.sent = 0;
+    currentAsk.tried.push_back (ip);
+    currentAsk.number = ++lastNumber;
 
     if (ip == own.ip)
-        return onGrant (now, tenant, keep (now, askOf (tenant, state), ip));
+        return applyGrant (now, tenant, answerAsk (now, makeAsk (tenant, state), ip));
 
-    forgetOldAsks (now);
-    sentAsks[asking.number] = { tenant, ip, {}, 0 };
+    dropExpiredAsks (now);
+    sentAsks[currentAsk.number] = { tenant, ip, {}, 0 };
 
     sendAsk (now, tenant, state);
 }
 
 void TenantQuotas::sendAsk (Timestamp now, const std::string& tenant, TenantState& state)
 {
-    auto& asking = state.asking;
-    ++asking.sent;
+    auto& currentAsk = state.currentAsk;
+    ++currentAsk.sent;
     ++counts.asks;
-    auto& sent = sentAsks[asking.number];
+    auto& sent = sentAsks[currentAsk.number];
     sent.sentAt = now;
-    sent.sent = asking.sent;
-    hooks.send (asking.ip, encode (askOf (tenant, state)));
-    asking.returned = 0; // Given back once: the ask may be sent again.
-    asking.dueAt = now + answerTime.current();
-    answersDue.emplace (asking.dueAt, tenant);
+    sent.sent = currentAsk.sent;
+    hooks.send (currentAsk.ip, encode (makeAsk (tenant, state)));
+    currentAsk.returned = 0; // The ask may be sent again, but must return these requests only once.
+    currentAsk.timeoutAt = now + answerTime.current();
+    answerTimeouts.emplace (currentAsk.timeoutAt, tenant);
 }
 
-void TenantQuotas::giveUpAnswer (Timestamp now, const std::string& tenant)
+void TenantQuotas::onAnswerTimeout (Timestamp now, const std::string& tenant)
 {
     const auto found = byTenant.find (tenant);
 
@@ -98,27 +100,27 @@
 
     auto& state = found->second;
 
-    // It was answered, or asked again, meanwhile.
-    if (state.asking.number == 0 || state.asking.dueAt > now)
+    // The ask has been answered or sent again in the meantime.
+    if (state.currentAsk.number == 0 || state.currentAsk.timeoutAt > now)
         return;
 
     ++counts.unanswered;
     answerTime.timedOut();
 
-    if (state.asking.sent < mostSent)
+    if (state.currentAsk.sent < maxSends)
         return sendAsk (now, tenant, state);
 
-    choice.silent (now, state.asking.ip);
-    askNext (now, tenant, state);
+    choice.silent (now, state.currentAsk.ip);
+    askNextKeeper (now, tenant, state);
 }
 
-void TenantQuotas::forgetOldAsks (Timestamp now)
+void TenantQuotas::dropExpiredAsks (Timestamp now)
 {
-    while (! sentAsks.empty() && now - sentAsks.begin()->second.sentAt > lateAnswerTime)
+    while (! sentAsks.empty() && now - sentAsks.begin()->second.sentAt > sentAskLifetime)
         sentAsks.erase (sentAsks.begin());
 }
 
-void TenantQuotas::takeGrant (Timestamp now, const std::string& ip, const QuotaGrant& grant)
+void TenantQuotas::receiveGrant (Timestamp now, const std::string& ip, const QuotaGrant& grant)
 {
     const auto found = sentAsks.find (grant.number);
 
@@ -128,36 +130,36 @@
     const auto sent = sentAsks.extract (found).mapped();
     choice.answered (ip);
 
-    // Of one that was sent twice it isn't known which was answered.
+    // If the ask was sent twice, it isn't known which datagram was answered.
     if (sent.sent == 1)
         answerTime.answered (now - sent.sentAt);
 
-    auto& state = stateOf (sent.tenant);
+    auto& state = stateFor (sent.tenant);
 
-    if (state.asking.number == grant.number)
-        return onGrant (now, sent.tenant, grant);
+    if (state.currentAsk.number == grant.number)
+        return applyGrant (now, sent.tenant, grant);
 
     if (grant.granted == 0)
         return;
 
     state.lease.granted (now, grant.granted, grant.alonePerSecond);
-    passGranted (now, state, false);
+    admitGranted (now, state, false);
 }
 
-void TenantQuotas::onGrant (Timestamp now, const std::string& tenant, const QuotaGrant& grant)
+void TenantQuotas::applyGrant (Timestamp now, const std::string& tenant, const QuotaGrant& grant)
 {
-    auto& state = stateOf (tenant);
-    const auto& tried = state.asking.tried;
+    auto& state = stateFor (tenant);
+    const auto& tried = state.currentAsk.tried;
     const bool isNew = std::find (tried.begin(), tried.end(), grant.keeper) == tried.end();
 
-    if (! grant.keeper.empty() && isNew && ! std::exchange (state.asking.redirected, true))
-        return askAt (now, tenant, state, grant.keeper);
+    if (! grant.keeper.empty() && isNew && ! std::exchange (state.currentAsk.redirected, true))
+        return askKeeper (now, tenant, state, grant.keeper);
 
     if (! grant.keeper.empty())
-        return goAlone (now, tenant, state);
+        return decideLocally (now, tenant, state);
 
-    state.asking.number = 0;
-    state.lastKeeper = state.asking.ip;
+    state.currentAsk.number = 0;
+    state.lastKeeper = state.currentAsk.ip;
 
     if (grant.granted > 0)
         state.lease.granted (now, grant.granted, grant.alonePerSecond);
@@ -165,13 +167,13 @@
     if (grant.retryAfterMs > 0)
         state.lease.refused (now, Milliseconds (grant.retryAfterMs));
 
-    passGranted (now, state, grant.retryAfterMs > 0);
+    admitGranted (now, state, grant.retryAfterMs > 0);
 
     if (! state.waiting.empty())
         askIfNeeded (now, tenant);
 }
 
-void TenantQuotas::passGranted (Timestamp now, TenantState& state, bool refuseOthers)
+void TenantQuotas::admitGranted (Timestamp now, TenantState& state, bool refuseRemaining)
 {
     auto waiting = std::exchange (state.waiting, {});
 
@@ -179,35 +181,35 @@
     {
         const bool passed = state.lease.takeGranted (now) == QuotaStep::pass;
 
-        // Those that came after the ask was sent are asked for next.
-        if (! passed && ! refuseOthers)
+        // Requests that arrived after the ask was sent are covered by the next ask.
+        if (! passed && ! refuseRemaining)
             state.waiting.push_back (std::move (each));
         else
             pass (now, each, state, passed, false);
     }
 }
 
-void TenantQuotas::passAll (Timestamp now, TenantState& state)
+void TenantQuotas::admitAll (Timestamp now, TenantState& state)
 {
     for (const auto& each : std::exchange (state.waiting, {}))
         pass (now, each, state, true, false);
 }
 
-void TenantQuotas::goAlone (Timestamp now, const std::string& tenant, TenantState& state)
+void TenantQuotas::decideLocally (Timestamp now, const std::string& tenant, TenantState& state)
 {
-    state.asking.number = 0;
+    state.currentAsk.number = 0;
     const auto* known = tenantNamed (tenant);
     auto waiting = std::exchange (state.waiting, {});
-    hooks.alone ({ tenant, waiting.size(), state.asking.tried.size(), view.nodes().size(),
+    hooks.alone ({ tenant, waiting.size(), state.currentAsk.tried.size(), view.nodes().size(),
                    state.lease.perSecond (now) });
 
-    std::uniform_real_distribution<double> chance (0, 1);
+    std::uniform_real_distribution<double> uniform (0, 1);
 
     for (auto& each : waiting)
     {
         const bool passed =
             known == nullptr || state.lease.takeAlone (now, known->quota, view.nodes().size(),
-                                                       chance (random)) == QuotaStep::pass;
+                                                       uniform (random)) == QuotaStep::pass;
         pass (now, each, state, passed, true);
     }
 }
--- a/tests/mesh/tenant_quotas_test.cc
+++ b/tests/mesh/tenant_quotas_test.cc
@@ -1,5 +1,5 @@
-/** Quotas over all nodes of a fleet, under failure: what is passed keeps within the bound, and what
-    is inside the limit isn't refused.
+/** Tests tenant quotas over all nodes of a fleet, also under failures: passed requests stay within
+    the bound, and requests within the limit aren't refused.
 */
 #include <gtest/gtest.h>
 
@@ -13,31 +13,33 @@
 namespace
 {
 
-/** Of a fleet whose limit is 100 a second and that is asked for 625: ten times the usual. */
-constexpr double hot = 625.0 / nodeCount;
-/** The usual: the limit is 1.6 times that. */
-constexpr double usual = 62.5 / nodeCount;
+/** Rate per node of a tenant that exceeds its limit. The fleet gets 625 requests per second, ten
+    times the usual rate, while the limit is 100.
+*/
+constexpr double overloadRate = 625.0 / nodeCount;
+/** Rate per node of a tenant within its limit, which is 1.6 times this rate. */
+constexpr double usualRate = 62.5 / nodeCount;
 
-TEST (TenantQuotas, InsideTheLimitNothingIsRefused)
+TEST (TenantQuotas, AlmostNothingIsRefusedWithinTheLimit)
 {
     QuotaFleet fleet (1);
-    fleet.play (1000, usual);
+    fleet.play (1000, usualRate);
     fleet.forgetCounts();
-    fleet.play (20'000, usual);
+    fleet.play (20'000, usualRate);
     EXPECT_LT (fleet.refusedShare(), 0.001);
     EXPECT_LE (fleet.most(), fleet.allowed());
 }
 
-TEST (TenantQuotas, AFewNodesMayUseTheWholeLimit)
+TEST (TenantQuotas, FewNodesMayUseTheWholeLimit)
 {
     QuotaFleet fleet (2);
     fleet.play (1000, 30, 0, 3);
     fleet.forgetCounts();
     fleet.play (10'000, 30, 0, 3);
-    EXPECT_LT (fleet.refusedShare(), 0.002) << "equal parts refuse 0.92";
+    EXPECT_LT (fleet.refusedShare(), 0.002) << "equal shares per node would refuse 0.92";
 }
 
-TEST (TenantQuotas, ASmallTenantIsServedWhole)
+TEST (TenantQuotas, SmallTenantIsRarelyRefused)
 {
     QuotaFleet fleet (3, 5);
     fleet.play (3000, 1, 0, 3);
@@ -46,10 +48,10 @@
     EXPECT_LT (fleet.refusedShare(), 0.01);
 }
 
-TEST (TenantQuotas, AHotTenantGetsItsLimitAndNoMore)
+TEST (TenantQuotas, OverloadingTenantGetsItsLimitAndNoMore)
 {
     QuotaFleet fleet (4);
-    fleet.play (20'000, hot);
+    fleet.play (20'000, overloadRate);
     EXPECT_LE (fleet.most(), fleet.bound());
     EXPECT_GE (fleet.most(), 0.9 * fleet.allowed());
 }
@@ -57,7 +59,7 @@
 struct Failure
 {
     const char* name;
-    double mostRefused; /**< Of what is inside the limit. */
+    double maxRefusedShare; /**< Maximum share of requests within the limit that may be refused. */
     void (*begin) (QuotaFleet&);
     void (*end) (QuotaFleet&);
 };
@@ -65,105 +67,107 @@
 const Failure failures[] = {
     { "the keeper is killed", 0.05, [] (QuotaFleet& fleet) { fleet.kill (fleet.keeper()); },
       [] (QuotaFleet& fleet) { fleet.start (fleet.keeper()); } },
-    { "the keeper freezes and wakes late", 0.05,
+    { "the keeper is suspended and resumes after 4 s", 0.05,
       [] (QuotaFleet& fleet) { fleet.sleepsUntil[fleet.keeper()] = fleet.nowMs + 4000; },
       [] (QuotaFleet&) {} },
-    { "the keeper's zone is cut off", 0.05,
+    { "the keeper's zone is partitioned", 0.05,
       [] (QuotaFleet& fleet) { fleet.cutZones = { fleet.places[fleet.keeper()].zone }; },
       [] (QuotaFleet& fleet) { fleet.cutZones.clear(); } },
-    { "the keeper alone is cut off", 0.05,
+    { "the keeper is isolated", 0.05,
       [] (QuotaFleet& fleet) { fleet.cutOff[fleet.keeper()] = true; },
       [] (QuotaFleet& fleet) { fleet.cutOff[fleet.keeper()] = false; } },
-    { "all zones are cut off from each other", 0.05,
+    { "all zones are partitioned from each other", 0.05,
       [] (QuotaFleet& fleet) {
           fleet.cutZones = { "z0", "z1", "z2", "z3" };
       },
       [] (QuotaFleet& fleet) { fleet.cutZones.clear(); } },
-    { "a third of the nodes are alone", 0.15,
+    { "a third of the nodes are isolated", 0.15,
       [] (QuotaFleet& fleet) { std::fill_n (fleet.cutOff.begin(), nodeCount / 3, true); },
       [] (QuotaFleet& fleet) { std::fill (fleet.cutOff.begin(), fleet.cutOff.end(), false); } },
-    { "every node is alone", 0.4,
+    { "every node is isolated", 0.4,
       [] (QuotaFleet& fleet) { std::fill (fleet.cutOff.begin(), fleet.cutOff.end(), true); },
       [] (QuotaFleet& fleet) { std::fill (fleet.cutOff.begin(), fleet.cutOff.end(), false); } },
-    { "all nodes are killed and started at once", 0.05,
+    { "all nodes are restarted at once", 0.05,
       [] (QuotaFleet& fleet)
       {
           for (int n = 0; n < nodeCount; ++n)
               fleet.start (n);
       },
       [] (QuotaFleet&) {} },
-    { "three datagrams of ten are lost", 0.1, [] (QuotaFleet& fleet) { fleet.lossShare = 0.3; },
+    { "30 % of the datagrams are lost", 0.1, [] (QuotaFleet& fleet) { fleet.lossShare = 0.3; },
       [] (QuotaFleet& fleet) { fleet.lossShare = 0; } },
 };
 
-TEST (TenantQuotas, KeepsWithinTheBoundWhateverFails)
+TEST (TenantQuotas, KeepsWithinTheBoundUnderFailures)
 {
     for (const auto& failure : failures)
     {
         QuotaFleet fleet (5);
-        fleet.play (5000, hot);
+        fleet.play (5000, overloadRate);
         failure.begin (fleet);
-        fleet.play (5000, hot);
+        fleet.play (5000, overloadRate);
         failure.end (fleet);
-        fleet.play (6000, hot);
+        fleet.play (6000, overloadRate);
         EXPECT_LE (fleet.most(), fleet.bound()) << failure.name;
     }
 }
 
-TEST (TenantQuotas, RefusesFewInsideTheLimitWhateverFails)
+TEST (TenantQuotas, RefusesFewWithinTheLimitUnderFailures)
 {
     for (const auto& failure : failures)
     {
         QuotaFleet fleet (6);
-        fleet.play (5000, usual);
+        fleet.play (5000, usualRate);
         fleet.forgetCounts();
         failure.begin (fleet);
-        fleet.play (5000, usual);
+        fleet.play (5000, usualRate);
         failure.end (fleet);
-        fleet.play (3000, usual);
-        EXPECT_LT (fleet.refusedShare(), failure.mostRefused) << failure.name;
+        fleet.play (3000, usualRate);
+        EXPECT_LT (fleet.refusedShare(), failure.maxRefusedShare) << failure.name;
     }
 }
 
-/** A tenant at six times its limit ran 259 requests in a window of five seconds where 157 are
-    allowed, beside load. The keeper of its quota had been started again, had bound its socket and
-   had no configuration yet; it took that for a version without the limit and granted whatever was
-   asked: "unknown noroutes by 127.85.0.4: 162" of the 252 that passed in that window, 181 of 274
-   and 145 of 240 in two others. A busy machine only made the time until its configuration longer.
+/** Guards against a restarted keeper that answers before it has a configuration. It took the
+    missing configuration for a version without the limit and granted every ask. A tenant at six
+    times its limit then ran 259 requests in a window of five seconds in which 157 are allowed. The
+    keeper had granted 162 of the 252 requests that passed in that window, and 181 of 274 and 145 of
+    240 in two others. Load on the machine only prolonged the time without a configuration.
 */
 TEST (TenantQuotas, KeepsWithinTheBoundWhileTheKeeperHasNoConfigurationYet)
 {
     QuotaFleet fleet (9);
-    fleet.play (5000, hot);
+    fleet.play (5000, overloadRate);
     fleet.startUnconfigured (fleet.keeper());
-    fleet.play (2000, hot);
+    fleet.play (2000, overloadRate);
     fleet.configure (fleet.keeper());
-    fleet.play (6000, hot);
+    fleet.play (6000, overloadRate);
     EXPECT_LE (fleet.most(), fleet.bound());
 }
 
 TEST (TenantQuotas, KeepsWithinTheBoundWhileTheKeeperRunsAVersionWithoutTheTenant)
 {
     QuotaFleet fleet (10);
-    fleet.play (5000, hot);
+    fleet.play (5000, overloadRate);
     fleet.configureWithoutTenant (fleet.keeper());
-    fleet.play (10'000, hot);
+    fleet.play (10'000, overloadRate);
     EXPECT_LE (fleet.most(), fleet.bound());
     EXPECT_GE (fleet.most(), 0.9 * fleet.allowed());
 }
 
-TEST (TenantQuotas, ALowerLimitHoldsAWindowAfterItCame)
+TEST (TenantQuotas, LoweredLimitAppliesAfterOneWindow)
 {
     QuotaFleet fleet (7);
-    fleet.play (5000, hot);
+    fleet.play (5000, overloadRate);
     fleet.setQuota (40);
-    fleet.play (1000, hot);
+    fleet.play (1000, overloadRate);
     fleet.forgetCounts();
-    fleet.play (10'000, hot);
+    fleet.play (10'000, overloadRate);
     EXPECT_LE (fleet.most(), fleet.bound());
 }
 
-/** Kills, sleeps, cuts and losses by chance, with a tenant that is hot all the while. */
+/** Injects random restarts, suspensions, partitions and datagram losses while a tenant exceeds its
+    limit.
+*/
 TEST (TenantQuotas, KeepsWithinTheBoundInAnyOrderOfFailures)
 {
     for (std::uint64_t seed = 1; seed <= 12; ++seed)
@@ -171,7 +175,7 @@
         QuotaFleet fleet (seed, seed % 2 == 0 ? 100 : 20);
         std::mt19937_64 random (seed);
         const auto any = [&] { return static_cast<int> (random() % nodeCount); };
-        fleet.play (3000, hot);
+        fleet.play (3000, overloadRate);
 
         for (int step = 0; step < 8; ++step)
         {
@@ -197,7 +201,7 @@
                 fleet.lossShare = 0.1 * static_cast<double> (random() % 4);
             }
 
-            fleet.play (static_cast<std::int64_t> (300 + random() % 2000), hot);
+            fleet.play (static_cast<std::int64_t> (300 + random() % 2000), overloadRate);
         }
 
         EXPECT_LE (fleet.most(), fleet.bound()) << "seed " << seed;
