--- a/src/mesh/credential_check.h
+++ b/src/mesh/credential_check.h
@@ -20,7 +20,7 @@
 };
 
 inline constexpr std::string_view credentialVerdictNames[] = {
-    "accepted", "no key", "unknown key", "the known keys may be out of date"
+    "accepted", "no key", "unknown key", "what is known of the keys may be out of date"
 };
 
 struct CredentialSettings
