--- a/src/mesh/reader_role.cc
+++ b/src/mesh/reader_role.cc
@@ -13,69 +13,69 @@
     , settings (settingsToUse)
     , random (static_cast<std::minstd_rand::result_type> (seed % std::minstd_rand::modulus))
 {
-    // A look costs the source little, so a weak machine needn't leave it to others.
-    const auto weakness = settings.mayLook ? Milliseconds (0) : weaknessPatience();
-    drawPatience (settings.unlistedPatience + weakness, settings.unlistedSpread);
+    // Listing the source for peers is cheap, so a weak machine need not wait longer than others.
+    const auto weakness = settings.mayLook ? Milliseconds (0) : weaknessDelay();
+    drawReadDelay (settings.unlistedStartDelay + weakness, settings.unlistedStartSpread);
 }
 
-void ReaderRole::drawPatience (Milliseconds least, std::optional<Milliseconds> spread)
+void ReaderRole::drawReadDelay (Milliseconds least, std::optional<Milliseconds> spread)
 {
-    leastPatience = least;
-    startSpread = spread;
-    drawnShare = std::uniform_real_distribution<double> (0, 1) (random);
+    minReadDelay = least;
+    readDelaySpread = spread;
+    spreadFraction = std::uniform_real_distribution<double> (0, 1) (random);
 }
 
-Duration ReaderRole::patience() const
+Duration ReaderRole::readDelay() const
 {
-    const auto spread = startSpread.value_or (takeOverSpread());
-    return leastPatience + std::chrono::duration_cast<Duration> (drawnShare * spread);
+    const auto spread = readDelaySpread.value_or (takeoverSpread());
+    return minReadDelay + std::chrono::duration_cast<Duration> (spreadFraction * spread);
 }
 
-void ReaderRole::drawTurn() { drawPatience (settings.patience, std::nullopt); }
+void ReaderRole::drawTakeoverDelay() { drawReadDelay (settings.readerTimeout, std::nullopt); }
 
-Milliseconds ReaderRole::takeOverSpread() const
+Milliseconds ReaderRole::takeoverSpread() const
 {
-    return std::max (settings.patienceSpread,
-                     settings.zoneTryInterval * static_cast<std::int64_t> (zonePeers));
+    return std::max (settings.readerTimeoutSpread,
+                     settings.zoneRetryInterval * static_cast<std::int64_t> (zonePeers));
 }
 
-Milliseconds ReaderRole::weaknessPatience() const
+Milliseconds ReaderRole::weaknessDelay() const
 {
-    return settings.weakerPatience * std::max (0, topStrength - rank.strength);
+    return settings.weakerMachineDelay * std::max (0, topStrength - rank.strength);
 }
 
-void ReaderRole::restartPatience (Timestamp now, Milliseconds least, Milliseconds spread)
+void ReaderRole::restartReadDelay (Timestamp now, Milliseconds least, Milliseconds spread)
 {
-    patientSince = now;
-    drawPatience (least + weaknessPatience(), spread);
+    readDelaySince = now;
+    drawReadDelay (least + weaknessDelay(), spread);
 }
 
 void ReaderRole::listed (Timestamp now)
 {
     isListed = true;
 
-    if (lastSatisfied != Timestamp{} || isReading || std::exchange (hasBeenListed, true))
+    if (lastUpToDateAt != Timestamp{} || isReading || std::exchange (hasBeenListed, true))
         return;
 
-    restartPatience (now, settings.listedPatience, settings.listedSpread);
+    restartReadDelay (now, settings.listedStartDelay, settings.listedStartSpread);
 }
 
 void ReaderRole::subscribed (Timestamp now)
 {
-    if (lastSatisfied != Timestamp{} || isReading || std::exchange (hasSubscribed, true))
+    if (lastUpToDateAt != Timestamp{} || isReading || std::exchange (hasSubscribed, true))
         return;
 
-    restartPatience (now, settings.subscribedPatience, settings.subscribedSpread);
+    restartReadDelay (now, settings.subscribedDelay, settings.subscribedSpread);
 }
 
-bool ReaderRole::looksFirst (Timestamp now)
+bool ReaderRole::requestPeerListing (Timestamp now)
 {
-    if (! settings.mayLook || isListed || lastSatisfied != Timestamp{} ||
-        std::exchange (hasLooked, true))
+    if (! settings.mayLook || isListed || lastUpToDateAt != Timestamp{} ||
+        std::exchange (hasListedPeers, true))
         return false;
 
-    wantsLook = true;
-    restartPatience (now, settings.lookPatience, settings.lookSpread);
+    peerListingRequested = true;
+    restartReadDelay (now, settings.peerListingDelay, settings.peerListingSpread);
     return true;
 }
 
@@ -83,8 +83,8 @@
 {
     const auto failing = std::count_if (failingReaders.begin(), failingReaders.end(),
                                         [&] (const auto& item)
-                                        { return now - item.second <= settings.unsoundMemory; });
-    return std::min (settings.zoneTryInterval * failing, settings.longestTryInterval);
+                                        { return now - item.second <= settings.failureRetention; });
+    return std::min (settings.zoneRetryInterval * failing, settings.maxRetryInterval);
 }
 
 void ReaderRole::heard (Timestamp now, const ReaderBeat& beat)
@@ -96,9 +96,9 @@
     {
         failingReaders[beat.node] = now;
 
-        // It says that it can't read on: no need to wait until it falls silent.
+        // The reader reports that it can't reach the source, so its timeout need not be awaited.
         if (readers.erase (beat.node) > 0 && readers.empty() && ! isReading)
-            patientSince = std::min (patientSince, now - settings.patience);
+            readDelaySince = std::min (readDelaySince, now - settings.readerTimeout);
 
         return;
     }
@@ -107,7 +107,7 @@
     readers[beat.node] = { beat, now };
     heardAt = std::max (heardAt, beat.at);
     heardVersion = std::max (heardVersion, beat.version);
-    updateSatisfied (now);
+    updateLastUpToDate (now);
 }
 
 void ReaderRole::reached (Timestamp now, SourcePosition at, std::uint64_t version)
@@ -118,7 +118,7 @@
     if (ownVersion >= seenVersion)
         seenLaterSince = Timestamp::max();
 
-    updateSatisfied (now);
+    updateLastUpToDate (now);
 }
 
 void ReaderRole::sawVersion (Timestamp now, std::uint64_t version)
@@ -129,7 +129,7 @@
         seenLaterSince = now;
 }
 
-void ReaderRole::updateSatisfied (Timestamp now)
+void ReaderRole::updateLastUpToDate (Timestamp now)
 {
     const bool fresh = std::any_of (readers.begin(), readers.end(),
                                     [&] (const auto& item)
@@ -142,26 +142,26 @@
     if (! fresh)
         return;
 
-    // The patience of the start ends with the first word of a reader.
-    if (lastSatisfied == Timestamp{} && ! isReading)
-        drawTurn();
+    // The start delay ends with the first heartbeat of a healthy reader.
+    if (lastUpToDateAt == Timestamp{} && ! isReading)
+        drawTakeoverDelay();
 
-    lastSatisfied = patientSince = now;
+    lastUpToDateAt = readDelaySince = now;
 }
 
-bool ReaderRole::relieved (Timestamp now, bool ownSound) const
+bool ReaderRole::canStopReading (Timestamp now, bool ownHealthy) const
 {
     return std::any_of (readers.begin(), readers.end(),
                         [&] (const auto& item)
                         {
                             const auto& [beat, when] = item.second;
-                            return now - when <= settings.patience &&
-                                   (! ownSound || beat.rank.betterThan (rank)) &&
+                            return now - when <= settings.readerTimeout &&
+                                   (! ownHealthy || beat.rank.betterThan (rank)) &&
                                    beat.at <= ownAt && beat.version <= ownVersion;
                         });
 }
 
-bool ReaderRole::relievesWeaker (Timestamp now)
+bool ReaderRole::shouldReplaceWeaker (Timestamp now)
 {
     const bool onlyWeaker =
         ! readers.empty() && std::all_of (readers.begin(), readers.end(),
@@ -174,45 +174,45 @@
     else if (weakerSince == Timestamp::max())
         weakerSince = now;
 
-    return weakerSince != Timestamp::max() && now - weakerSince > settings.takeOverTime;
+    return weakerSince != Timestamp::max() && now - weakerSince > settings.takeoverTimeout;
 }
 
 bool ReaderRole::isAlone (Timestamp now) const
 {
-    return lastSatisfied != Timestamp{} && readers.empty() && failingReaders.empty() &&
-           now - patientSince > settings.takeOverTime;
+    return lastUpToDateAt != Timestamp{} && readers.empty() && failingReaders.empty() &&
+           now - readDelaySince > settings.takeoverTimeout;
 }
 
-bool ReaderRole::decide (Timestamp now, bool ownSound)
+bool ReaderRole::decide (Timestamp now, bool ownHealthy)
 {
-    if (! std::exchange (begun, true))
-        patientSince = std::max (patientSince, now);
+    if (! std::exchange (hasStarted, true))
+        readDelaySince = std::max (readDelaySince, now);
 
-    std::erase_if (failingReaders,
-                   [&] (const auto& item) { return now - item.second > settings.unsoundMemory; });
-    std::erase_if (readers,
-                   [&] (const auto& item) { return now - item.second.when > settings.patience; });
+    std::erase_if (failingReaders, [&] (const auto& item)
+                   { return now - item.second > settings.failureRetention; });
+    std::erase_if (readers, [&] (const auto& item)
+                   { return now - item.second.when > settings.readerTimeout; });
 
     const bool seenLater =
-        seenLaterSince != Timestamp::max() && now - seenLaterSince > settings.behindTime;
+        seenLaterSince != Timestamp::max() && now - seenLaterSince > settings.laterVersionGrace;
 
     if (isReading)
     {
-        isReading = seenLater || ! relieved (now, ownSound);
+        isReading = seenLater || ! canStopReading (now, ownHealthy);
 
         if (! isReading)
         {
-            drawTurn();
-            lastSatisfied = patientSince = now;
+            drawTakeoverDelay();
+            lastUpToDateAt = readDelaySince = now;
             weakerSince = Timestamp::max();
         }
 
         return isReading;
     }
 
-    const bool takeOver = relievesWeaker (now) || isAlone (now);
-    const bool outOfPatience = now - patientSince > patience() && ! looksFirst (now);
-    isReading = seenLater || takeOver || outOfPatience;
+    const bool takeOver = shouldReplaceWeaker (now) || isAlone (now);
+    const bool delayElapsed = now - readDelaySince > readDelay() && ! requestPeerListing (now);
+    isReading = seenLater || takeOver || delayElapsed;
     return isReading;
 }
 
--- a/src/mesh/reader_role.h
+++ b/src/mesh/reader_role.h
@@ -1,18 +1,19 @@
-/** Decides whether a node reads the source itself or lives on what a reader of its zone passes on.
-    Deciding code without I/O.
-
-    There is no lock: nothing shared can be written. Every reader tells its zone that it reads and
-   up to which revision; of several, the best-ranked goes on and the others stop. A node reads
-   itself as soon as it hasn't been up to date with a sound reader for a while: because it hears
-   none, the readers are unsound, it can't get from them what they have, or another node's answers
-   show a later configuration. Two readers at once cost calls; none at all lasts no longer than
-   `patience`, since of a large zone somebody's is always short.
-
-   At its start a node waits for a beat before it reads: shortly if it is listed, so that a reader
-   can know it, longer if it isn't. One that isn't looks for peers before it reads, and subscribes
-   to the beats of the zone's reader through them (see Subscription). While the source fails, the
-   nodes of a zone share the calls that find out when it is back: the more of them try, the rarer
-   each does.
+/** Decides whether a node reads the source itself or receives changes from a reader of its zone.
+    Contains no I/O.
+
+    Readers are elected without a lock, since the nodes share no writable storage. Every reader
+    sends heartbeats to its zone with the position that it has reached. Of several readers the
+    best-ranked one continues and the others stop. A node starts to read if it has not been up to
+    date with a healthy reader for a while: because it receives no heartbeats, the readers can't
+    reach the source, it can't fetch from them what they have, or another node's answers show a
+    later configuration. Two concurrent readers only cost additional calls. A time without a reader
+    is bounded by `readerTimeout`, since in a large zone some node's random delay is always short.
+
+    After its start a node waits for a heartbeat before it reads: briefly if it is listed, so that a
+    reader can know it, and longer if it isn't. A node that isn't listed first lists the source to
+    find peers, and subscribes through them to the heartbeats of the zone's reader (see
+    Subscription). While the source fails, the nodes of a zone share the calls that detect its
+    recovery: the more nodes retry, the longer the interval of each.
 */
 #pragma once
 
@@ -29,7 +30,7 @@
 namespace copperlead::mesh
 {
 
-/** How readers are ranked: the stronger machine first, then by a hash that all nodes agree on. */
+/** Rank of a reader: the stronger machine first, then by a hash on which all nodes agree. */
 struct ReaderRank
 {
     int strength = 0;
@@ -41,58 +42,66 @@
     }
 };
 
-/** The rank's strength of a machine that lacks nothing. */
+/** Strength of a machine whose processor and network link are both adequate. */
 inline constexpr int topStrength = 2;
 
-/** What a reader tells its zone, some times a second and at each change; and each time one node
-    elsewhere, for a zone whose own readers don't reach the source.
+/** Heartbeat that a reader sends to its zone several times per second and after each change. Each
+    time it also goes to one node of another zone, in case that zone's readers can't reach the
+    source.
 */
 struct ReaderBeat
 {
     std::string node;
     std::string zone;
     ReaderRank rank;
-    SourcePosition at;         /**< The source's position that it has read up to. */
-    std::uint64_t version = 0; /**< Of the configuration that it runs. */
-    bool sound = false;        /**< It reaches the source and goes on reading. */
+    SourcePosition at;         /**< Position of the source up to which the node has read. */
+    std::uint64_t version = 0; /**< Version of the node's configuration. */
+    bool sound = false;        /**< True if the node reaches the source and continues to read. */
 
-    /** False: it only offers what it has, and says nothing of who reads. */
+    /** False if the node only offers its state and doesn't report itself as a reader. */
     bool reads = true;
 };
 
 struct ReaderRoleSettings
 {
     Milliseconds beatInterval{ 250 };
-    Milliseconds patience{ 700 };       /**< Without being up to date with a sound reader. */
-    Milliseconds patienceSpread{ 300 }; /**< So that not all begin to read at once. */
 
-    /** Of a node that has just started: a beat comes within 250 ms if a reader knows it; entries
-        of a fleet that starts together appear within about 2 s.
+    /** Time without being up to date with a healthy reader after which a node may start to read.
+        Readers that are silent for this long are considered gone.
     */
-    Milliseconds listedPatience{ 300 }, unlistedPatience{ 1500 };
-    Milliseconds listedSpread{ 300 }, unlistedSpread{ 1000 };
+    Milliseconds readerTimeout{ 700 };
 
-    /** Of a node that isn't listed: until a look at the source has shown peers. */
-    Milliseconds lookPatience{ 500 }, lookSpread{ 300 };
+    /** Range of the random delay that keeps the nodes from starting to read all at once. */
+    Milliseconds readerTimeoutSpread{ 300 };
 
-    /** After its first subscription: until the peers have passed it on, or one of those that were
-        listed first begins to read.
+    /** Delays of a node that has just started. A heartbeat arrives within 250 ms if a reader knows
+        the node; the entries of nodes that start together appear within about 2 s.
     */
-    Milliseconds subscribedPatience{ 1000 }, subscribedSpread{ 500 };
-    bool mayLook = false; /**< Whether this node can list the source without reading it. */
+    Milliseconds listedStartDelay{ 300 }, unlistedStartDelay{ 1500 };
+    Milliseconds listedStartSpread{ 300 }, unlistedStartSpread{ 1000 };
 
-    Milliseconds weakerPatience{ 300 }; /**< More at the start for each step under the strongest. */
+    /** Delay of a node that isn't listed while it lists the source to find peers. */
+    Milliseconds peerListingDelay{ 500 }, peerListingSpread{ 300 };
 
-    /** The nodes of a zone together try a failing source about that often. */
-    Milliseconds zoneTryInterval{ 100 };
-    Milliseconds longestTryInterval{ 4000 };
-    Milliseconds unsoundMemory{ 6000 }; /**< For which a beat of a failing reader counts. */
-    Milliseconds behindTime{ 400 };     /**< For which another node may show a later version. */
+    /** Delay after a node's first subscription. It lasts until the peers have forwarded the
+        subscription, or until one of the nodes that were listed first starts to read.
+    */
+    Milliseconds subscribedDelay{ 1000 }, subscribedSpread{ 500 };
+    bool mayLook = false; /**< True if the node can list the source without reading it. */
+
+    /** Additional start delay for each step below the highest machine strength. */
+    Milliseconds weakerMachineDelay{ 300 };
+
+    /** Approximate interval at which the nodes of a zone together retry a failing source. */
+    Milliseconds zoneRetryInterval{ 100 };
+    Milliseconds maxRetryInterval{ 4000 };
+    Milliseconds failureRetention{ 6000 }; /**< Validity of a failing reader's heartbeat. */
+    Milliseconds laterVersionGrace{ 400 }; /**< Time for which others may run a later version. */
 
-    /** After which a stronger node relieves a weaker reader, and a node that hears no reader at
-       all, not even one that fails, waits for no other of its zone.
+    /** Time after which a stronger node replaces a weaker reader. After the same time, a node that
+        hears no reader at all, not even a failing one, stops waiting for other nodes of its zone.
     */
-    Milliseconds takeOverTime{ 2000 };
+    Milliseconds takeoverTimeout{ 2000 };
 };
 
 /** Not thread-safe. */
@@ -104,93 +113,98 @@
 
     void heard (Timestamp now, const ReaderBeat& beat);
 
-    /** This node's state has changed. */
+    /** Records the position and the version that this node has reached. */
     void reached (Timestamp now, SourcePosition at, std::uint64_t version);
 
-    /** Another node's answer showed the version that it runs. */
+    /** Records the configuration version that another node's answer showed. */
     void sawVersion (Timestamp now, std::uint64_t version);
 
-    /** For how long another node has been known to run a later version; zero: none does. */
+    /** @returns for how long another node has been known to run a later version; zero if none does
+     */
     Duration seenLaterFor (Timestamp now) const
     {
         return seenLaterSince == Timestamp::max() ? Duration (0) : now - seenLaterSince;
     }
 
-    /** The other nodes of this zone that are known. */
+    /** Sets the number of other known nodes in this zone. */
     void setZonePeers (std::size_t count) { zonePeers = count; }
 
-    /** This node is listed, so that readers know it: at its start it needs less patience. */
+    /** Records that this node is listed. Readers then know it, so its start delay is shorter. */
     void listed (Timestamp now);
 
-    /** This node isn't listed, or no longer. */
+    /** Records that this node isn't listed, or is no longer listed. */
     void unlisted() { isListed = false; }
 
-    /** This node has subscribed to the beats of its zone's reader. */
+    /** Records that this node has subscribed to the heartbeats of its zone's reader. */
     void subscribed (Timestamp now);
 
-    /** Whether to list the source once more, for peers to subscribe through; says so once. */
-    bool takeLook() { return std::exchange (wantsLook, false); }
+    /** Returns true once for each request to list the source again, to find peers through which to
+        subscribe.
+    */
+    bool takeLook() { return std::exchange (peerListingRequested, false); }
 
-    /** Looks at what has been heard.
-        @param ownSound  this node reaches the source itself
-        @returns whether to read the source itself
+    /** Evaluates the heartbeats received.
+        @param ownHealthy  true if this node reaches the source itself
+        @returns true if this node is to read the source itself
     */
-    bool decide (Timestamp now, bool ownSound = true);
+    bool decide (Timestamp now, bool ownHealthy = true);
 
-    /** How far apart this node's calls to a failing source, and its beats about it, are at least.
+    /** Minimum interval of this node's calls to a failing source, and of its heartbeats meanwhile.
      */
     Milliseconds tryInterval (Timestamp now) const;
 
     bool reading() const { return isReading; }
 
-    /** The position or version of a sound reader is later than this node's. */
+    /** True if the position or the version of a healthy reader is later than this node's. */
     bool behind() const { return heardAt > ownAt || heardVersion > ownVersion; }
 
-    /** When this node was last up to date with a sound reader. */
-    Timestamp satisfiedAt() const { return lastSatisfied; }
+    /** Time at which this node was last up to date with a healthy reader. */
+    Timestamp satisfiedAt() const { return lastUpToDateAt; }
 
 private:
-    struct Heard
+    struct ReceivedHeartbeat
     {
         ReaderBeat beat;
         Timestamp when;
     };
 
-    /** @param spread  beyond the least; empty: by the zone's peers */
-    void drawPatience (Milliseconds least, std::optional<Milliseconds> spread);
-
-    /** Draws when, among the nodes of the zone, it is this node's turn to read. */
-    void drawTurn();
-    Duration patience() const;
-    void restartPatience (Timestamp now, Milliseconds least, Milliseconds spread);
-    bool looksFirst (Timestamp now);
-    Milliseconds takeOverSpread() const;
-    Milliseconds weaknessPatience() const;
-    void updateSatisfied (Timestamp now);
-    bool relieved (Timestamp now, bool ownSound) const;
-    bool relievesWeaker (Timestamp now);
+    /** Draws the random part of the delay before this node reads.
+        @param spread  range of the random part; empty: depends on the number of peers in the zone
+    */
+    void drawReadDelay (Milliseconds least, std::optional<Milliseconds> spread);
+
+    /** Draws this node's delay among the nodes of the zone that may replace a reader. */
+    void drawTakeoverDelay();
+    Duration readDelay() const;
+    void restartReadDelay (Timestamp now, Milliseconds least, Milliseconds spread);
+    bool requestPeerListing (Timestamp now);
+    Milliseconds takeoverSpread() const;
+    Milliseconds weaknessDelay() const;
+    void updateLastUpToDate (Timestamp now);
+    bool canStopReading (Timestamp now, bool ownHealthy) const;
+    bool shouldReplaceWeaker (Timestamp now);
     bool isAlone (Timestamp now) const;
 
     std::string name;
     ReaderRank rank;
     ReaderRoleSettings settings;
     std::minstd_rand random;
-    std::map<std::string, Heard> readers;
-    std::map<std::string, Timestamp> failingReaders; /**< When each last said so. */
+    std::map<std::string, ReceivedHeartbeat> readers;
+    std::map<std::string, Timestamp> failingReaders; /**< Time of each one's last failure report. */
     std::size_t zonePeers = 0;
     SourcePosition ownAt, heardAt;
     std::uint64_t ownVersion = 0, heardVersion = 0;
     std::uint64_t seenVersion = 0;
     Timestamp seenLaterSince = Timestamp::max();
-    Timestamp lastSatisfied{}, weakerSince = Timestamp::max();
-    Timestamp patientSince{}; /**< When the patience began that now runs. */
-    Milliseconds leastPatience{};
-    std::optional<Milliseconds> startSpread; /**< Empty: by the zone's peers, as known now. */
-    double drawnShare = 0;                   /**< Of the spread. */
-    bool begun = false;                      /**< decide() was called. */
+    Timestamp lastUpToDateAt{}, weakerSince = Timestamp::max();
+    Timestamp readDelaySince{}; /**< Start of the current read delay. */
+    Milliseconds minReadDelay{};
+    std::optional<Milliseconds> readDelaySpread; /**< Empty: depends on the current peer count. */
+    double spreadFraction = 0;                   /**< Random fraction of the spread. */
+    bool hasStarted = false;                     /**< True after the first call of decide(). */
     bool isListed = false, hasBeenListed = false;
-    bool hasLooked = false, hasSubscribed = false;
-    bool wantsLook = false;
+    bool hasListedPeers = false, hasSubscribed = false;
+    bool peerListingRequested = false;
     bool isReading = false;
 };
 
--- a/tests/mesh/reader_role_test.cc
+++ b/tests/mesh/reader_role_test.cc
@@ -18,15 +18,15 @@
     return { "other", "ank-a", rank, revision (number), 3, sound };
 }
 
-/** So that a node reads as soon as nobody else does. */
-ReaderRoleSettings withoutStartPatience()
+/** Settings with which a node starts to read as soon as no other node does. */
+ReaderRoleSettings withoutStartDelay()
 {
     ReaderRoleSettings settings;
-    settings.unlistedPatience = settings.unlistedSpread = settings.weakerPatience = {};
+    settings.unlistedStartDelay = settings.unlistedStartSpread = settings.weakerMachineDelay = {};
     return settings;
 }
 
-/** A node that has reached revision 5 and version 3, and reads. */
+/** A reader that has reached revision 5 and version 3. */
 class Role : public ::testing::Test
 {
 protected:
@@ -37,7 +37,7 @@
         EXPECT_TRUE (role.decide (at (0)));
     }
 
-    /** Hears the beat each 250 ms. @returns whether the node reads at the end */
+    /** Receives the heartbeat every 250 ms. @returns true if the node reads at the end */
     bool hear (const ReaderBeat& heard, std::int64_t from, std::int64_t until)
     {
         bool reading = role.reading();
@@ -51,7 +51,7 @@
         return reading;
     }
 
-    /** @returns the time from which on the node reads, though it hears nothing */
+    /** @returns the time at which the node starts to read without heartbeats */
     std::int64_t readsFrom (std::int64_t now)
     {
         while (! role.decide (at (now)) && now < 60'000)
@@ -60,14 +60,14 @@
         return now;
     }
 
-    ReaderRole role{ "self", own, withoutStartPatience(), 7 };
+    ReaderRole role{ "self", own, withoutStartDelay(), 7 };
 };
 
 /** A node that has just started. */
 class StartingRole : public ::testing::Test
 {
 protected:
-    /** @returns when it begins to read though it hears nothing */
+    /** @returns the time at which the node starts to read without heartbeats */
     static std::int64_t readsFrom (ReaderRole& role)
     {
         std::int64_t now = 0;
@@ -81,7 +81,7 @@
     ReaderRole role{ "self", { topStrength, 50 }, {}, 7 };
 };
 
-TEST_F (StartingRole, ReadsSoonWhenItIsListedAndHearsOfNobody)
+TEST_F (StartingRole, ReadsSoonWhenListedWithoutHeartbeats)
 {
     role.decide (at (0));
     role.listed (at (0));
@@ -90,19 +90,19 @@
     EXPECT_LE (from, 620);
 }
 
-TEST_F (StartingRole, WaitsLongerWhileNobodyCanKnowIt)
+TEST_F (StartingRole, WaitsLongerWhileNotListed)
 {
     const auto from = readsFrom (role);
     EXPECT_GE (from, 1500);
     EXPECT_LE (from, 2520);
 }
 
-TEST_F (StartingRole, NeverReadsWhenAReaderIsHeardInTime)
+TEST_F (StartingRole, DoesNotReadWhenAHeartbeatArrivesInTime)
 {
     role.decide (at (0));
     role.listed (at (0));
     role.heard (at (250), beat ({ topStrength, 10 }));
-    role.reached (at (260), revision (5), 3); // What it pulled.
+    role.reached (at (260), revision (5), 3); // The node fetches the reader's state.
 
     for (int now = 500; now <= 5000; now += 250)
     {
@@ -111,7 +111,7 @@
     }
 }
 
-TEST_F (StartingRole, OfAFleetThatStartsTogetherTheStrongMachinesReadFirst)
+TEST_F (StartingRole, StrongMachinesReadFirstWhenStartedTogether)
 {
     ReaderRole weak{ "weak", { topStrength - 1, 1 }, {}, 8 };
 
@@ -124,20 +124,20 @@
     EXPECT_LT (readsFrom (role), readsFrom (weak));
 }
 
-TEST_F (Role, ReadsWhileItKnowsOfNobody)
+TEST_F (Role, ReadsWhileNoOtherReaderIsKnown)
 {
     EXPECT_TRUE (role.decide (at (0)));
     EXPECT_TRUE (role.decide (at (5000)));
 }
 
-TEST_F (Role, StopsForABetterReaderAndOnlyForABetterOne)
+TEST_F (Role, StopsOnlyForABetterReader)
 {
     EXPECT_TRUE (hear (beat (worse), 0, 1000));
     EXPECT_TRUE (hear (beat (weaker), 1000, 2000));
     EXPECT_FALSE (hear (beat (better), 2000, 2250));
 }
 
-TEST_F (Role, DoesNotStopForAReaderThatItHasNotCaughtUpWith)
+TEST_F (Role, ContinuesWhileBehindABetterReader)
 {
     EXPECT_TRUE (hear (beat (better, 9), 0, 500));
     EXPECT_TRUE (role.behind());
@@ -145,7 +145,7 @@
     EXPECT_FALSE (hear (beat (better, 9), 500, 750));
 }
 
-TEST_F (Role, ReadsAgainSoonAfterTheReaderFallsSilent)
+TEST_F (Role, ReadsAgainAfterTheReaderTimesOut)
 {
     ASSERT_FALSE (hear (beat (better), 0, 1000));
     const auto from = readsFrom (1000);
@@ -153,7 +153,7 @@
     EXPECT_LE (from, 2050);
 }
 
-TEST_F (Role, ReadsAgainAtOnceWhenTheReaderSaysThatItCannot)
+TEST_F (Role, ReadsAgainAtOnceWhenTheReaderReportsAFailure)
 {
     ASSERT_FALSE (hear (beat (better), 0, 1000));
     role.heard (at (1000), beat (better, 5, false));
@@ -166,7 +166,7 @@
     EXPECT_TRUE (hear (beat (better, 9), 1250, 2500));
 }
 
-TEST_F (Role, ReadsWhenAnotherNodeShowsALaterVersionForAWhile)
+TEST_F (Role, ReadsWhenAnotherNodeShowsALaterVersionForTooLong)
 {
     ASSERT_FALSE (hear (beat (better), 0, 1000));
     role.sawVersion (at (1000), 4);
@@ -176,7 +176,7 @@
     EXPECT_FALSE (hear (beat (better, 6), 1600, 1850));
 }
 
-TEST_F (Role, RelievesAWeakerReaderAfterAWhile)
+TEST_F (Role, ReplacesAWeakerReaderAfterATimeout)
 {
     ReaderRole strong{ "self", stronger, {}, 7 };
     strong.reached (at (0), revision (5), 3);
@@ -194,7 +194,9 @@
     EXPECT_TRUE (reading);
 }
 
-/** The time from which on a node reads that hears of nobody. @param act  at each step */
+/** @param act  called at each step
+    @returns the time at which a node starts to read without heartbeats
+*/
 template <typename Act>
 std::int64_t readsFromIn (ReaderRole& role, Act act)
 {
@@ -206,34 +208,35 @@
     return now;
 }
 
-ReaderRoleSettings withLooks()
+ReaderRoleSettings withPeerListing()
 {
     ReaderRoleSettings settings;
     settings.mayLook = true;
     return settings;
 }
 
-TEST (StartingFleetRole, ItsPatienceIsNotCutShortWhereNoReaderIsKnown)
+TEST (StartingFleetRole, KeepsItsStartDelayWithoutAKnownReader)
 {
     ReaderRoleSettings settings;
-    settings.unlistedPatience = Milliseconds (5000);
+    settings.unlistedStartDelay = Milliseconds (5000);
     ReaderRole role ("own", own, settings, 7);
     EXPECT_GE (readsFromIn (role, [] (auto) {}), 5000);
 }
 
-TEST (StartingFleetRole, LooksForPeersOnceBeforeItReads)
+TEST (StartingFleetRole, ListsPeersOnceBeforeItReads)
 {
-    ReaderRole role ("own", own, withLooks(), 7);
-    int looks = 0;
-    const auto readsAt = readsFromIn (role, [&] (auto) { looks += role.takeLook() ? 1 : 0; });
-    EXPECT_EQ (looks, 1);
+    ReaderRole role ("own", own, withPeerListing(), 7);
+    int listings = 0;
+    const auto readsAt = readsFromIn (role, [&] (auto) { listings += role.takeLook() ? 1 : 0; });
+    EXPECT_EQ (listings, 1);
     EXPECT_GE (readsAt, 1500 + 500);
-    EXPECT_LE (readsAt, 1500 + 1000 + 500 + 300 + 300 + 20) << "a step under the strongest";
+    EXPECT_LE (readsAt, 1500 + 1000 + 500 + 300 + 300 + 20)
+        << "strength is one step below the maximum";
 }
 
-TEST (StartingFleetRole, AListedNodeNeedsNoLook)
+TEST (StartingFleetRole, DoesNotListPeersWhenListed)
 {
-    ReaderRole role ("own", own, withLooks(), 7);
+    ReaderRole role ("own", own, withPeerListing(), 7);
     role.decide (at (0));
     role.listed (at (0));
     EXPECT_LE (readsFromIn (role, [] (auto) {}), 300 + 300 + 300 + 10);
@@ -242,7 +245,7 @@
 
 TEST (StartingFleetRole, WaitsForTheReaderThatItSubscribedTo)
 {
-    ReaderRole role ("own", own, withLooks(), 7);
+    ReaderRole role ("own", own, withPeerListing(), 7);
     const auto subscribe = [&] (std::int64_t now)
     {
         if (now >= 100)
@@ -253,16 +256,16 @@
     EXPECT_LE (readsAt, 100 + 1000 + 500 + 300 + 500 + 300 + 300 + 20);
 }
 
-TEST_F (Role, OneThatHearsNobodyAtAllWaitsForNoOtherOfALargeZone)
+TEST_F (Role, WithoutAnyHeartbeatTheZoneSizeDoesNotDelayReading)
 {
     role.setZonePeers (500);
     EXPECT_FALSE (hear (beat (better), 0, 500));
     EXPECT_LE (readsFrom (750), 500 + 2000 + 50);
 }
 
-TEST_F (Role, WhereReadersFailTheOthersOfALargeZoneTakeTurns)
+TEST_F (Role, FailingReadersSpreadTheTakeoverInALargeZone)
 {
-    role.setZonePeers (2); // As known when it heard its first reader.
+    role.setZonePeers (2); // The peer count is 2 at the first heartbeat.
     EXPECT_FALSE (hear (beat (better), 0, 500));
     role.setZonePeers (500);
     bool reading = false;
@@ -273,10 +276,10 @@
         reading = reading || role.decide (at (now));
     }
 
-    EXPECT_FALSE (reading) << "its turn, drawn from 50 s, isn't due";
+    EXPECT_FALSE (reading) << "its random delay of up to 50 s hasn't elapsed";
 }
 
-TEST_F (Role, ItsOwnBeatTeachesNothing)
+TEST_F (Role, IgnoresItsOwnHeartbeat)
 {
     auto echoed = beat (better);
     echoed.node = "self";
@@ -295,7 +298,7 @@
     EXPECT_EQ (role.seenLaterFor (at (180)), Duration (0));
 }
 
-TEST (ReaderBeatCodec, ComesBackAndStrayDatagramsAreRefused)
+TEST (ReaderBeatCodec, RoundTripsAndRejectsStrayDatagrams)
 {
     const auto bytes = encode (beat (better, 77));
     const auto read = decodeReaderBeat (bytes);
