--- a/src/mesh/source_follower.cc
+++ b/src/mesh/source_follower.cc
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** Of the entries that have one: pages come in the order of their keys. */
+/** @returns the key of the last entry with a readable key; pages are ordered by key */
 std::string lastKey (const std::vector<SourceEntry>& entries)
 {
     const auto found = std::find_if (entries.rbegin(), entries.rend(),
@@ -27,13 +27,13 @@
 
 std::optional<SourceRequest> SourceFollower::poll (Timestamp now)
 {
-    if (! std::exchange (begun, true) && settings.firstListDelay > Milliseconds (0))
+    if (! std::exchange (hasStarted, true) && settings.firstListDelay > Milliseconds (0))
         due = std::max<Timestamp> (due, now + settings.firstListDelay);
 
-    if (out || (paused && listed) || now < due)
+    if (requestPending || (paused && listed) || now < due)
         return std::nullopt;
 
-    out = true;
+    requestPending = true;
     sentAt = now;
     current = listed ? SourceCall::watch : SourceCall::list;
 
@@ -41,16 +41,17 @@
 
     if (current == SourceCall::watch)
     {
-        // After a failure, too, an answer at once tells soonest that the source is back.
-        takingOver = std::exchange (firstWatch, false) || failures > 0;
-        const auto wait = takingOver ? Milliseconds (0) : settings.watchWait;
+        // An immediate answer detects the recovery of a failing source soonest.
+        immediateWatch = std::exchange (firstWatch, false) || failures > 0;
+        const auto wait = immediateWatch ? Milliseconds (0) : settings.watchWait;
         watchStart = at;
-        return SourceRequest{ current, {},   at.revision, wait, wait + settings.answerTime,
+        return SourceRequest{ current, {},   at.revision, wait, wait + settings.answerTimeout,
                               false,   cause };
     }
 
-    return SourceRequest{ current,           lastKey (pages), 0,    Milliseconds (0),
-                          settings.listTime, stale,           cause };
+    return SourceRequest{
+        current, lastKey (pages), 0, Milliseconds (0), settings.listTimeout, stale, cause
+    };
 }
 
 SourceCallCause SourceFollower::causeOf (SourceCall call) const
@@ -64,7 +65,7 @@
     if (! pages.empty())
         return SourceCallCause::page;
 
-    if (looking)
+    if (refreshing)
         return SourceCallCause::look;
 
     return historyLost ? SourceCallCause::historyLost : SourceCallCause::start;
@@ -91,7 +92,7 @@
     const bool dropped = skipListing (position) || listed;
     paused = true;
     advanceTo (position);
-    out = out && ! dropped;
+    requestPending = requestPending && ! dropped;
     return dropped;
 }
 
@@ -101,9 +102,9 @@
     paused = false;
     firstWatch = true;
     advanceTo (position);
-    out = out && ! dropped;
+    requestPending = requestPending && ! dropped;
 
-    if (! out)
+    if (! requestPending)
     {
         due = now;
         stale = stale && ! pages.empty();
@@ -111,7 +112,7 @@
 
     // A watch can't start from a position of an earlier epoch.
     if (listed && at.epoch < epoch)
-        listAnew (now);
+        restartListing (now);
 
     return dropped;
 }
@@ -123,72 +124,76 @@
 
     advanceTo (position);
 
-    if (! out || now - sentAt < settings.hurryAfter)
+    if (! requestPending || now - sentAt < settings.expediteAfter)
         return false;
 
-    out = false;
+    requestPending = false;
     due = now;
     return true;
 }
 
 bool SourceFollower::hurry (Timestamp now)
 {
-    const bool rests = ! out && ! paused && failures == 0 && now < due;
+    const bool waitsForInterval = ! requestPending && ! paused && failures == 0 && now < due;
 
-    if (! rests && (! out || current != SourceCall::watch || now - sentAt < settings.hurryAfter))
+    if (! waitsForInterval &&
+        (! requestPending || current != SourceCall::watch || now - sentAt < settings.expediteAfter))
         return false;
 
-    out = false;
+    requestPending = false;
     due = now;
     return true;
 }
 
 void SourceFollower::lookAgain (Timestamp now)
 {
-    if (out || ! paused || ! listed || failures > 0)
+    if (requestPending || ! paused || ! listed || failures > 0)
         return;
 
     listed = false;
     stale = true;
-    looking = true;
+    refreshing = true;
     pages.clear();
     due = now;
 }
 
 Timestamp SourceFollower::nextDue() const
 {
-    return out || (paused && listed) ? Timestamp::max() : due;
+    return requestPending || (paused && listed) ? Timestamp::max() : due;
 }
 
 bool SourceFollower::reached (Timestamp now) const
 {
-    // One that lists again after a lost history hears the source.
+    // A follower that lists again after a lost history still reaches the source.
     return (listed || historyLost) && ! paused && failures == 0 &&
-           now - successAt <= settings.watchInterval + settings.watchWait + settings.answerTime;
+           now - successAt <= settings.watchInterval + settings.watchWait + settings.answerTimeout;
 }
 
-bool SourceFollower::sound (Timestamp now) const { return failures == 0 && now >= unsoundUntil; }
+bool SourceFollower::sound (Timestamp now) const
+{
+    return failures == 0 && now >= absenceDistrustedUntil;
+}
 
 Milliseconds SourceFollower::backoff (int attempts) const
 {
-    const auto doubled = settings.firstBackoff * (1 << std::clamp (attempts - 1, 0, 4));
-    return std::min (doubled, settings.longestBackoff);
+    const auto doubled = settings.initialBackoff * (1 << std::clamp (attempts - 1, 0, 4));
+    return std::min (doubled, settings.maxBackoff);
 }
 
 void SourceFollower::failed (Timestamp now)
 {
     ++failures;
-    unsoundUntil = now + settings.unsoundTime;
+    absenceDistrustedUntil = now + settings.absenceDistrustTime;
     const auto longest = std::max (backoff (failures), tryInterval);
     std::uniform_int_distribution<std::int64_t> spread (longest.count() / 2, longest.count());
     due = now + Milliseconds (spread (random));
 }
 
-void SourceFollower::listAnew (Timestamp when)
+void SourceFollower::restartListing (Timestamp when)
 {
     listed = false;
     historyLost = true;
-    stale = false; // An old answer could name a revision whose history is gone, too.
+    stale = false; // The history after a stale answer's revision may be lost as well.
     pages.clear();
     due = when;
 }
@@ -198,7 +203,7 @@
     epoch = newEpoch;
 
     if (at.isKnown())
-        unsoundUntil = now + settings.unsoundTime;
+        absenceDistrustedUntil = now + settings.absenceDistrustTime;
 }
 
 bool SourceFollower::matchesCallEpoch (const SourceAnswer& answer) const
@@ -218,9 +223,8 @@
     // Not needed if another node has already passed on the changes since the restore.
     if (! listed || at.epoch < epoch)
     {
-        std::uniform_int_distribution<std::int64_t> spread (0,
-                                                            settings.longestRestoreDelay.count());
-        listAnew (now + Milliseconds (spread (random)));
+        std::uniform_int_distribution<std::int64_t> spread (0, settings.maxRestoreDelay.count());
+        restartListing (now + Milliseconds (spread (random)));
     }
 }
 
@@ -228,12 +232,12 @@
 {
     // The backoff prevents a listing loop if the source rejects each position it has just reported.
     ++historyLosses;
-    listAnew (historyLosses == 1 ? now : now + backoff (historyLosses - 1));
+    restartListing (historyLosses == 1 ? now : now + backoff (historyLosses - 1));
 }
 
 std::optional<SourceUpdate> SourceFollower::answered (Timestamp now, SourceAnswer answer)
 {
-    out = false;
+    requestPending = false;
     const bool isReadable = answer.reply != SourceReply::failed;
 
     if (isReadable && answer.at.epoch > epoch)
@@ -277,8 +281,8 @@
     advanceTo (answer.at);
     due = std::max<Timestamp> (now, sentAt + settings.watchInterval);
 
-    // That the source is reached again is news to the zone, whatever it tells.
-    if (answer.entries.empty() && ! std::exchange (takingOver, false))
+    // An immediate watch reports to the zone that the source is reachable, even without changes.
+    if (answer.entries.empty() && ! std::exchange (immediateWatch, false))
         return std::nullopt;
 
     return SourceUpdate{ false, std::move (answer.entries), at };
@@ -287,8 +291,8 @@
 namespace
 {
 
-/** Up to which a page lacks nothing. What a stale answer says of the source's revision isn't
-    believed, only that it is no older than the latest of its entries.
+/** @returns the position up to which a page is complete. The revision that a stale answer reports
+    for the source isn't trusted; the answer only proves to be as recent as its latest entry.
 */
 SourcePosition completeUpTo (const SourceAnswer& answer, bool stale)
 {
@@ -320,9 +324,9 @@
     advanceTo (listingAt);
     listed = ! stale || listingAt.isKnown();
     stale = ! listed && paused;
-    historyLost = looking = false;
+    historyLost = refreshing = false;
 
-    // An old answer that holds nothing says nothing.
+    // An empty stale answer doesn't show that the source is empty, so the listing is repeated.
     if (stale)
         due = sentAt + settings.emptyListInterval;
 
--- a/src/mesh/source_follower.h
+++ b/src/mesh/source_follower.h
@@ -1,19 +1,20 @@
-/** Follows a versioned key-value source: lists it once, then watches it from the revision that the
-    listing named. A state machine without I/O: the shell sends what poll() asks for and hands back
-    what came of it.
-
-    The epoch of the answers rises when the source is restored from a backup. Changes between the
-    backup and the revision that this node has reached are then unknown, so the source is listed
-    again, by each follower after a random delay.
-
-    Calls are priced. A node that isn't to read the source lists it once at its start, by an answer
-    that may be some seconds old and costs less, so that it can serve; what the listing lacks comes
-    from the zone's reader, or from this node's own watch if it has to read after all. Of such a
-    listing no revision is believed but those of the entries themselves.
-
-    A watch that hears nothing says nothing: each one is short, and one that isn't answered in its
-    time is asked again over a new connection. Failures back off, but never so far that a node which
-    can reach the source again goes on with an old word.
+/** Follows a versioned key-value source: lists it once, then watches it from the revision of the
+    listing. This is a state machine without I/O: the caller sends the request that poll() returns
+    and passes the answer to answered().
+
+    The epoch of the answers increases when the source is restored from a backup. The changes
+    between the backup and the revision that this node has reached are then unknown, so each
+    follower lists the source again after a random delay.
+
+    Calls to the source have a cost. To be able to serve, a node that doesn't read the source lists
+    it once at its start, and accepts a stale answer, which may be some seconds old and costs less.
+    Changes that such a listing lacks come from the zone's reader, or from this node's own watch if
+    it has to read later. The revision that a stale answer reports isn't trusted; only the revisions
+    of its entries are.
+
+    An unanswered watch doesn't show whether the connection still works. Watches are therefore
+    short, and a watch that times out is repeated over a new connection. Repeated failures are
+    backed off, but only so far that a node which reaches the source again soon has current data.
 */
 #pragma once
 
@@ -31,15 +32,15 @@
 namespace copperlead::mesh
 {
 
-/** An entry as it was written, or that it is gone. */
+/** An entry as it was written, or its removal. */
 struct SourceEntry
 {
-    std::string key; /**< Empty: that can't be read either. */
+    std::string key; /**< Empty if the key can't be read either. */
     std::string value;
     std::uint64_t revision = 0;
     std::uint64_t createdAt = 0;
     bool gone = false;
-    std::string fault{}; /**< Why it can't be read, in words; empty: it can. */
+    std::string fault{}; /**< Describes why the entry can't be read; empty if it can. */
 };
 
 enum class SourceCall : std::uint8_t
@@ -50,14 +51,14 @@
 
 inline constexpr std::string_view sourceCallNames[] = { "list", "watch" };
 
-/** Why the source is called; for the count of calls. */
+/** The reason for a call, by which calls are counted. */
 enum class SourceCallCause : std::uint8_t
 {
     start,       /**< The first page of the first listing. */
     page,        /**< A further page of any listing. */
-    historyLost, /**< The first page of a listing after the source forgot its history. */
-    look,        /**< The first page of a later listing of a node that doesn't read. */
-    takeOver,    /**< The first watch of a node that begins to read. */
+    historyLost, /**< The first page of a listing after the source has discarded its history. */
+    look,        /**< The first page of a repeated listing of a node that doesn't read. */
+    takeOver,    /**< The first watch of a node that starts to read. */
     watch,       /**< A further watch. */
     retry        /**< After a call that failed or was refused. */
 };
@@ -66,26 +67,26 @@
                                                              "look",  "take_over", "watch",
                                                              "retry" };
 
-/** Calls, by cause. */
+/** Numbers of calls, indexed by cause. */
 using SourceCallCounts = std::array<std::uint64_t, std::size (sourceCallCauseNames)>;
 
 struct SourceRequest
 {
     SourceCall call = SourceCall::list;
-    std::string afterKey;            /**< The next page begins behind it. */
-    std::uint64_t afterRevision = 0; /**< Of a watch. */
-    Milliseconds wait{};             /**< For which the source may hold a watch. */
-    Milliseconds timeout{};          /**< After which the answer is taken for lost. */
-    bool mayBeStale = false;         /**< Of a listing: an answer some seconds old will do. */
+    std::string afterKey;            /**< The page starts after this key. */
+    std::uint64_t afterRevision = 0; /**< The revision after which a watch starts. */
+    Milliseconds wait{};             /**< Time for which the source may hold a watch. */
+    Milliseconds timeout{};          /**< Time after which the call has failed. */
+    bool mayBeStale = false;         /**< True if a listing may be some seconds old. */
     SourceCallCause cause = SourceCallCause::start;
 };
 
 enum class SourceReply : std::uint8_t
 {
     entries,
-    historyLost, /**< The watch can't go on: list again. */
-    refused,     /**< Nothing was done; the source or a limit turned the call away. */
-    failed       /**< No answer, or one that can't be read. */
+    historyLost, /**< The watch can't continue; the source must be listed again. */
+    refused,     /**< The source or a rate limit rejected the call. */
+    failed       /**< There is no answer, or it can't be parsed. */
 };
 
 inline constexpr std::string_view sourceReplyNames[] = { "entries", "history_lost", "refused",
@@ -96,13 +97,14 @@
     SourceReply reply = SourceReply::failed;
     std::vector<SourceEntry> entries;
     bool hasMore = false;
-    SourcePosition at; /**< The source's; its revision is valid only with SourceReply::entries. */
+    SourcePosition at; /**< Position of the source; its revision is valid only with
+                            SourceReply::entries. */
 };
 
-/** What the node learns. */
+/** Changes that an answer of the source contains. */
 struct SourceUpdate
 {
-    bool complete = false;            /**< A listing: what it doesn't hold is gone. */
+    bool complete = false;            /**< True for a listing: entries that it lacks are removed. */
     std::vector<SourceEntry> entries; /**< Their revisions belong to the epoch of `at`. */
     SourcePosition at;
 };
@@ -111,29 +113,31 @@
 {
     Milliseconds watchWait{ 1500 };
 
-    /** Between the sendings of two watches, at least: entries that change all the time end each
-        watch at once, and their changes are better fetched together.
+    /** Minimum interval between the starts of two watches. Entries that change continuously end
+        each watch immediately; the interval fetches several of their changes together.
     */
     Milliseconds watchInterval{ 200 };
-    Milliseconds answerTime{ 600 }; /**< Beyond the wait. */
-    Milliseconds listTime{ 1200 };
-    Milliseconds firstBackoff{ 100 };
-    Milliseconds longestBackoff{ 400 };
-    Milliseconds hurryAfter{ 200 }; /**< A watch younger than this may just be on its way. */
-    /** How long absence isn't trusted after a failure or a restore. */
-    Milliseconds unsoundTime{ 2500 };
+    Milliseconds answerTimeout{ 600 }; /**< Added to the wait of a watch. */
+    Milliseconds listTimeout{ 1200 };
+    Milliseconds initialBackoff{ 100 };
+    Milliseconds maxBackoff{ 400 };
+
+    /** Minimum age of a watch that is replaced; the answer to a younger one may be in transit. */
+    Milliseconds expediteAfter{ 200 };
+
+    /** Time for which absent entries aren't trusted after a failure or a restore. */
+    Milliseconds absenceDistrustTime{ 2500 };
 
     /** Upper bound of the random delay before a restored source is listed. */
-    Milliseconds longestRestoreDelay{ 300 };
+    Milliseconds maxRestoreDelay{ 300 };
 
-    /** Until an old listing that held nothing is repeated. */
+    /** Interval after which an empty stale listing is repeated. */
     Milliseconds emptyListInterval{ 500 };
-    bool firstListMayBeStale = false; /**< Set where a reader of the zone tells what it lacks. */
+    bool firstListMayBeStale = false; /**< True if a reader of the zone provides later changes. */
 
-    /** From the first poll() until the first listing, unless a revision is reached by other means
-        before. Where many nodes start together over narrow links, those with wide ones are ready
-        sooner and pass on less than a listing holds: of a day on which all processes were killed,
-        0.975 of the credit was earned instead of 0.959.
+    /** Delay from the first poll() to the first listing, which is skipped if a position is reached
+        by other means before. If many nodes start together over slow links, the nodes with fast
+        links are ready sooner, and their updates are smaller than a listing.
     */
     Milliseconds firstListDelay{ 0 };
 };
@@ -144,51 +148,53 @@
 public:
     SourceFollower (const FollowerSettings& settingsToUse, std::uint64_t seed);
 
-    /** @returns the request to send now; nothing while one is out or none is due */
+    /** @returns the request to send now; std::nullopt while one is pending or none is due */
     std::optional<SourceRequest> poll (Timestamp now);
 
-    /** When poll() may have something; the largest time while a request is out. */
+    /** Time at which poll() may return a request; Timestamp::max() while one is pending. */
     Timestamp nextDue() const;
 
-    /** Takes the answer to the request that is out. @returns what it teaches, if anything */
+    /** Handles the answer to the pending request. @returns the changes in it, if any */
     std::optional<SourceUpdate> answered (Timestamp now, SourceAnswer answer);
 
-    /** Another node runs a later version: neither the request that is out nor the interval between
-        watches is waited for any longer.
-        @returns true if it is to be dropped and poll() called again
+    /** Makes the next watch due at once, because another node runs a later version. Neither the
+        pending watch nor the interval between watches is awaited any longer.
+        @returns true if the pending request, if any, is to be dropped and poll() called again
     */
     bool hurry (Timestamp now);
 
-    /** A position was reached by other means while this node reads: what a watch from an earlier
-       one would bring is known, and may take long over a narrow link.
-        @returns true if the watch that is out is to be dropped and poll() called again
+    /** Records a position that was reached by other means while this node reads. The changes that a
+        watch from an earlier position would return are known, and may take long over a slow link.
+        @returns true if the pending watch is to be dropped and poll() called again
     */
     bool overtaken (Timestamp now, SourcePosition position);
 
-    /** Stops watching until resume(). The first listing goes on, unless `position` was reached by
+    /** Stops watching until resume(). The first listing continues, unless `position` was reached by
         other means.
-        @returns true if the request that is out, if any, is to be dropped
+        @returns true if the pending request, if any, is to be dropped
     */
     bool pause (SourcePosition position = {});
 
-    /** Resumes, from a position that was reached by other means, if any was. The first watch is
-        answered at once, so that the source is known to be reached.
-        @returns true if the request that is out, if any, is to be dropped
+    /** Resumes, from `position` if it was reached by other means. The first watch is answered at
+        once, which shows whether the source can be reached.
+        @returns true if the pending request, if any, is to be dropped
     */
     bool resume (Timestamp now, SourcePosition position);
 
-    /** Lists once more, by an answer that may be old, while this node doesn't read. */
+    /** Lists the source again while this node doesn't read. The answer may be stale. */
     void lookAgain (Timestamp now);
 
-    /** How far apart calls to a failing source are at least, since other nodes try it too. */
+    /** Sets the minimum interval of calls to a failing source, which other nodes call as well. */
     void setTryInterval (Milliseconds interval) { tryInterval = interval; }
 
-    /** True while nothing has failed lately, so that an entry's absence can be trusted. */
+    /** True if no call has failed and no restore was seen recently, so that absent entries can be
+        considered removed.
+    */
     bool sound (Timestamp now) const;
 
-    /** True while the source answers: nothing is failing, and its last word is no older than a
-        watch may take. Also while a lost history is made up for by a listing: were others to read
-        instead, each would list as well.
+    /** True while the source answers: no call is failing, and the last answer is no older than a
+        watch may take. Also true while a listing replaces a lost history: other nodes that start to
+        read instead would each have to list the source as well.
     */
     bool reached (Timestamp now) const;
 
@@ -197,7 +203,7 @@
     Timestamp lastSuccess() const { return successAt; }
     SourcePosition position() const { return at; }
 
-    /** The latest epoch that an answer or another node has reported. */
+    /** Latest epoch that an answer or another node has reported. */
     std::uint64_t latestEpoch() const { return epoch; }
 
 private:
@@ -205,10 +211,10 @@
     Milliseconds backoff (int attempts) const;
     bool skipListing (SourcePosition position);
     void advanceTo (SourcePosition position);
-    void listAnew (Timestamp when);
+    void restartListing (Timestamp when);
     void beginEpoch (Timestamp now, std::uint64_t newEpoch);
 
-    /** @returns true if the answer is of the epoch that the watch or the listing started in */
+    /** @returns true if the answer has the epoch in which the watch or the listing started */
     bool matchesCallEpoch (const SourceAnswer& answer) const;
     void handleRestore (Timestamp now);
     void handleHistoryLoss (Timestamp now);
@@ -218,27 +224,30 @@
 
     FollowerSettings settings;
     std::minstd_rand random;
-    bool begun = false; /**< poll() was called. */
-    bool out = false;
+    bool hasStarted = false; /**< True after the first call of poll(). */
+    bool requestPending = false;
     bool paused = false;
-    bool firstWatch = false; /**< Since the resumption. */
-    bool takingOver = false; /**< The watch that is out is the first since the resumption. */
+    bool firstWatch = false; /**< True if the next watch is the first after resume(). */
+
+    /** True if the pending watch, the first one after resume() or a failure, doesn't wait. */
+    bool immediateWatch = false;
     bool listed = false;
     SourceCall current = SourceCall::list;
     Timestamp due{}, sentAt{};
     SourcePosition at;
-    SourcePosition watchStart; /**< Of the watch that is out. */
-    SourcePosition listingAt;  /**< Up to which the pages lack nothing: they are no snapshot. */
+    SourcePosition watchStart; /**< Start of the pending watch. */
+    SourcePosition
+        listingAt; /**< Position up to which the pages are complete; they are no snapshot. */
     std::uint64_t epoch = 0;
-    bool stale = false; /**< Of the listing under way. */
+    bool stale = false; /**< True if the current listing may be stale. */
     bool historyLost = false;
-    bool looking = false; /**< The listing under way is a later one. */
+    bool refreshing = false; /**< True if the current listing was requested by lookAgain(). */
     Milliseconds tryInterval{};
     std::vector<SourceEntry> pages;
     int failures = 0;
-    int historyLosses = 0; /**< Since a watch was last answered. */
+    int historyLosses = 0; /**< Number since a watch was last answered. */
     Timestamp successAt{};
-    Timestamp unsoundUntil{};
+    Timestamp absenceDistrustedUntil{};
 };
 
 } // namespace copperlead::mesh
--- a/tests/mesh/restored_source_follower_test.cc
+++ b/tests/mesh/restored_source_follower_test.cc
@@ -1,4 +1,5 @@
-// Reading a source that was restored from a backup, which reuses revisions in a later epoch.
+// Tests of reading a source that was restored from a backup, which reuses revisions in a later
+// epoch.
 #include <gtest/gtest.h>
 
 #include "mesh/reader_role.h"
--- a/tests/mesh/source_follower_test.cc
+++ b/tests/mesh/source_follower_test.cc
@@ -49,17 +49,17 @@
     EXPECT_EQ (update->entries.size(), 2U);
     const auto watch = follower.poll (at (2));
     EXPECT_EQ (watch->call, SourceCall::watch);
-    EXPECT_EQ (watch->afterRevision, 7U); // What changed between the pages comes again.
+    EXPECT_EQ (watch->afterRevision, 7U); // Changes between the pages are returned again.
 }
 
-TEST_F (Following, AsksOnlyOnceAtATime)
+TEST_F (Following, SendsOneRequestAtATime)
 {
     EXPECT_TRUE (follower.poll (at (5)));
     EXPECT_FALSE (follower.poll (at (6)));
     EXPECT_EQ (follower.nextDue(), Timestamp::max());
 }
 
-TEST_F (Following, AnEmptyWatchTeachesNothingAndGoesOnFromItsRevision)
+TEST_F (Following, AnEmptyWatchReturnsNoUpdateAndContinuesFromItsRevision)
 {
     follower.poll (at (5));
     EXPECT_FALSE (follower.answered (at (1500), page ({}, 8)));
@@ -74,7 +74,7 @@
     EXPECT_EQ (follower.poll (at (10))->call, SourceCall::list);
 }
 
-TEST_F (Following, AWatchThatIsNotAnsweredIsAskedAgainSoonFromTheSameRevision)
+TEST_F (Following, AnUnansweredWatchIsRepeatedSoonFromTheSameRevision)
 {
     const auto watch = follower.poll (at (5));
     EXPECT_LE (watch->timeout, Milliseconds (2500));
@@ -85,7 +85,7 @@
     EXPECT_EQ (again->afterRevision, 7U);
 }
 
-TEST_F (Following, BacksOffButNeverFar)
+TEST_F (Following, BackoffIsBounded)
 {
     auto now = at (5);
 
@@ -99,7 +99,7 @@
     }
 }
 
-TEST_F (Following, IsUnsoundForAWhileAfterAFailure)
+TEST_F (Following, DoesNotTrustAbsenceRightAfterAFailure)
 {
     follower.poll (at (5));
     follower.answered (at (10), failure (SourceReply::failed));
@@ -110,9 +110,9 @@
     EXPECT_TRUE (follower.sound (at (4100)));
 }
 
-TEST_F (Following, HurriesOnlyAWatchThatHasBeenOutForAWhile)
+TEST_F (Following, ExpeditesOnlyAWatchOfAMinimumAge)
 {
-    EXPECT_FALSE (follower.hurry (at (5))); // None is out.
+    EXPECT_FALSE (follower.hurry (at (5))); // No watch is pending.
     follower.poll (at (5));
     EXPECT_FALSE (follower.hurry (at (100)));
     EXPECT_TRUE (follower.hurry (at (300)));
@@ -120,21 +120,21 @@
     EXPECT_FALSE (follower.failing());
 }
 
-TEST_F (Following, WatchesThatEndAtOnceAreSentAnIntervalApart)
+TEST_F (Following, WatchesThatEndImmediatelyKeepTheMinimumInterval)
 {
     EXPECT_TRUE (follower.poll (at (5)));
     EXPECT_TRUE (follower.answered (at (9), page ({ entry ("a", 8) }, 8)));
     EXPECT_FALSE (follower.poll (at (204)));
     EXPECT_EQ (follower.nextDue(), at (205));
     EXPECT_EQ (follower.poll (at (205))->afterRevision, 8U);
-    // One that took longer than the interval is followed by the next at once.
+    // A watch that took longer than the interval is followed by the next one immediately.
     follower.answered (at (700), page ({ entry ("a", 9) }, 9));
     EXPECT_TRUE (follower.poll (at (700)));
 }
 
 TEST_F (Following, ALaterVersionElsewhereEndsTheIntervalBetweenWatches)
 {
-    EXPECT_FALSE (follower.hurry (at (5))) << "it is due already";
+    EXPECT_FALSE (follower.hurry (at (5))) << "the watch is due already";
     EXPECT_TRUE (follower.poll (at (5)));
     EXPECT_TRUE (follower.answered (at (9), page ({ entry ("a", 8) }, 8)));
     EXPECT_TRUE (follower.hurry (at (20)));
@@ -151,7 +151,7 @@
     EXPECT_FALSE (follower.reached (at (60'000)));
 }
 
-TEST_F (Following, ResumedItGoesOnFromTheRevisionReachedAndIsAnsweredAtOnceFirst)
+TEST_F (Following, ResumesFromThePositionReachedWithAnImmediateWatch)
 {
     follower.pause();
     follower.resume (at (9000), revision (40));
@@ -177,7 +177,7 @@
     EXPECT_TRUE (follower.answered (at (1005), page ({}, 7)));
 }
 
-/** A follower of a node that isn't to read, before its first listing. */
+/** A follower of a node that doesn't read, before its first listing. */
 class PausedAtStart : public ::testing::Test
 {
 protected:
@@ -192,7 +192,7 @@
     std::unique_ptr<SourceFollower> follower;
 };
 
-TEST_F (PausedAtStart, ListsOnceByAnOldAnswerAndWatchesNothing)
+TEST_F (PausedAtStart, ListsOnceWithAStaleAnswerAndDoesNotWatch)
 {
     const auto list = follower->poll (at (0));
     ASSERT_TRUE (list);
@@ -200,10 +200,11 @@
     EXPECT_TRUE (list->mayBeStale);
     EXPECT_TRUE (follower->answered (at (5), page ({ entry ("a", 3) }, 7))->complete);
     EXPECT_FALSE (follower->poll (at (60'000)));
-    EXPECT_EQ (follower->lastSuccess(), Timestamp{}) << "an old answer is no word of the source";
+    EXPECT_EQ (follower->lastSuccess(), Timestamp{})
+        << "a stale answer doesn't show that the source is reachable";
 }
 
-TEST_F (PausedAtStart, OfAnOldListingOnlyTheRevisionsOfItsEntriesAreBelieved)
+TEST_F (PausedAtStart, UsesOnlyTheEntryRevisionsOfAStaleListing)
 {
     follower->poll (at (0));
     follower->answered (at (1), page ({ entry ("a", 3), entry ("b", 6) }, 9, true));
@@ -214,7 +215,7 @@
     EXPECT_EQ (follower->poll (at (10))->afterRevision, 5U);
 }
 
-TEST_F (PausedAtStart, AnOldListingThatHoldsNothingIsRepeatedLater)
+TEST_F (PausedAtStart, AnEmptyStaleListingIsRepeatedLater)
 {
     follower->poll (at (0));
     follower->answered (at (1), page ({}, 9));
@@ -236,10 +237,10 @@
     EXPECT_FALSE (follower.reached (at (2101)));
 }
 
-TEST_F (PausedAtStart, LooksAgainByAnOldAnswerAndRestsThen)
+TEST_F (PausedAtStart, ListsAgainWithAStaleAnswerAndThenSendsNothing)
 {
     follower->poll (at (0));
-    follower->lookAgain (at (0)); // While the first is out: nothing.
+    follower->lookAgain (at (0)); // This has no effect while the first listing is pending.
     follower->answered (at (1), page ({ entry ("a", 3) }, 7));
     follower->lookAgain (at (1500));
     const auto look = follower->poll (at (1500));
@@ -253,7 +254,7 @@
     EXPECT_FALSE (follower->poll (at (60'000)));
 }
 
-TEST_F (PausedAtStart, ALookIsDroppedByWhoBeginsToRead)
+TEST_F (PausedAtStart, ARepeatedListingIsDroppedWhenReadingStarts)
 {
     follower->poll (at (0));
     follower->answered (at (1), page ({ entry ("a", 3) }, 7));
@@ -265,7 +266,7 @@
     EXPECT_EQ (watch->afterRevision, 5U);
 }
 
-TEST_F (PausedAtStart, AReaderWithoutAListingAsksForAnExactOne)
+TEST_F (PausedAtStart, AReaderWithoutAListingRequestsACurrentOne)
 {
     follower->poll (at (0));
     follower->answered (at (1), page ({}, 9));
@@ -275,7 +276,7 @@
     EXPECT_FALSE (list->mayBeStale);
 }
 
-TEST_F (PausedAtStart, ListingsAfterALostHistoryAreExact)
+TEST_F (PausedAtStart, ListingsAfterALostHistoryAreCurrent)
 {
     follower->poll (at (0));
     follower->answered (at (1), page ({ entry ("a", 3) }, 7));
@@ -287,18 +288,18 @@
     EXPECT_EQ (list->cause, SourceCallCause::historyLost);
 }
 
-TEST_F (PausedAtStart, WhatAPeerToldEndsAListingThatTheSourceRefuses)
+TEST_F (PausedAtStart, AnUpdateFromAPeerEndsARefusedListing)
 {
     follower->poll (at (0));
     follower->answered (at (1), failure (SourceReply::refused));
     follower->poll (at (500));
-    EXPECT_TRUE (follower->pause (revision (40))) << "the request that is out is dropped";
+    EXPECT_TRUE (follower->pause (revision (40))) << "the pending request is dropped";
     EXPECT_FALSE (follower->poll (at (60'000)));
     follower->resume (at (60'000), revision (40));
     EXPECT_EQ (follower->poll (at (60'000))->afterRevision, 40U);
 }
 
-TEST_F (PausedAtStart, ATryIntervalKeepsCallsToAFailingSourceApart)
+TEST_F (PausedAtStart, TheRetryIntervalSeparatesCallsToAFailingSource)
 {
     follower->setTryInterval (Milliseconds (4000));
     follower->poll (at (0));
@@ -307,16 +308,15 @@
     EXPECT_LE (follower->nextDue(), at (4000));
 }
 
-TEST_F (Following, AWatchThatAnotherNodeOvertookIsAskedAnewFromThere)
+TEST_F (Following, AWatchIsRestartedFromALaterPositionOfAnotherNode)
 {
     EXPECT_EQ (follower.poll (at (10))->afterRevision, 7U);
-    EXPECT_FALSE (follower.overtaken (at (300), revision (7))) << "not overtaken";
+    EXPECT_FALSE (follower.overtaken (at (300), revision (7))) << "the position isn't later";
     EXPECT_TRUE (follower.overtaken (at (300), revision (12)));
     const auto watch = follower.poll (at (300));
     ASSERT_TRUE (watch);
     EXPECT_EQ (watch->afterRevision, 12U);
-    EXPECT_FALSE (follower.overtaken (at (400), revision (13)))
-        << "its answer may just be on its way";
+    EXPECT_FALSE (follower.overtaken (at (400), revision (13))) << "the answer may be in transit";
 }
 
 FollowerSettings delayed()
@@ -326,7 +326,7 @@
     return settings;
 }
 
-TEST (DelayedListing, WaitsForAnotherNodesWordAndIsSparedByIt)
+TEST (DelayedListing, IsSkippedWhenAnotherNodeProvidesTheState)
 {
     SourceFollower follower (delayed(), 1);
     follower.pause();
@@ -334,18 +334,18 @@
     EXPECT_EQ (follower.nextDue(), at (500));
     EXPECT_FALSE (follower.poll (at (499)));
     follower.pause (revision (7));
-    EXPECT_FALSE (follower.poll (at (500))) << "a revision was reached by other means";
+    EXPECT_FALSE (follower.poll (at (500))) << "a position was reached by other means";
     EXPECT_EQ (follower.nextDue(), Timestamp::max());
 }
 
-TEST (DelayedListing, ComesWhenNobodySaysAnything)
+TEST (DelayedListing, IsSentWithoutAnUpdateFromAnotherNode)
 {
     SourceFollower follower (delayed(), 1);
     follower.pause();
     EXPECT_FALSE (follower.poll (at (0)));
     ASSERT_TRUE (follower.poll (at (500)));
     EXPECT_FALSE (follower.answered (at (510), failure (SourceReply::failed)));
-    EXPECT_TRUE (follower.poll (at (620))) << "only the first try is delayed";
+    EXPECT_TRUE (follower.poll (at (620))) << "only the first call is delayed";
 }
 
 TEST (DelayedListing, AReaderDoesNotWait)
