--- a/src/mesh/configuration_holder.h
+++ b/src/mesh/configuration_holder.h
@@ -1,4 +1,4 @@
-/** Holds the configuration that a proxy runs and lets it move only to later versions. */
+/** Holds the running configuration of a proxy and accepts only later versions. */
 #pragma once
 
 #include <deque>
@@ -13,24 +13,26 @@
 enum class ConfigurationVerdict : std::uint8_t
 {
     taken,
-    same, /**< The version that runs. */
-    older /**< Refused: a proxy never goes back. */
+    same, /**< Ignored: the version is already running. */
+    older /**< Refused: a proxy never reverts to an earlier version. */
 };
 
 /** Not thread-safe. */
 class ConfigurationHolder
 {
 public:
-    /** @returns taken when the version is later than the running one; kinds of checkConfiguration()
-     */
+    /** Checks a configuration and applies it if its version is later than the running one.
+        @returns the verdict, or an error of checkConfiguration()
+    */
     Result<ConfigurationVerdict> take (MeshConfiguration configuration);
 
-    /** Null before the first one. */
+    /** Routes of the running configuration; null before the first one. */
     const std::shared_ptr<const RouteTable>& routes() const { return current; }
     std::uint64_t version() const;
 
-    /** A version that ran lately, for which another node may want the changes; null if forgotten.
-     */
+    /** Finds a recent version, as the base of changes for another node.
+        @returns null if the version isn't among the latest ones
+    */
     ConfigurationPointer earlier (std::uint64_t version) const;
 
 private:
--- a/src/mesh/mesh_state.cc
+++ b/src/mesh/mesh_state.cc
@@ -20,7 +20,7 @@
         return outcome;
     }
 
-    // An old listing lacks what came after it.
+    // A listing older than the position reached lacks later changes.
     if (update.complete && update.at < at)
     {
         outcome.listingIgnored = true;
@@ -50,7 +50,7 @@
     {
         const auto id = change.instance.id;
 
-        // What only lapsed is listed nowhere, and isn't to be taken for gone below.
+        // A lapsed instance has no entry, but must not be removed below as if it had left.
         if (! change.gone || ! change.trusted)
             listed.push_back (id);
 
@@ -136,7 +136,7 @@
 
     if (outcome.verdict == ConfigurationVerdict::older)
         outcome.error = { ErrorKind::kRevisionBehind, "version",
-                          std::to_string (outcome.version) + " is older than the running one" };
+                          std::to_string (outcome.version) + " is older than the running version" };
 
     return outcome;
 }
@@ -150,7 +150,7 @@
 
     for (const auto& entry : changes)
     {
-        // A draining instance is listed as such; one that left or lapsed has no entry any more.
+        // A draining instance still has an entry; one that left or lapsed has none.
         const bool retained = entry.retainedAt.has_value();
         const bool gone =
             entry.state != InstanceState::ready && ! entry.instance.draining && ! retained;
--- a/src/mesh/mesh_state.h
+++ b/src/mesh/mesh_state.h
@@ -1,6 +1,6 @@
-/** What a node knows of the mesh: its configuration, the directory of instances, and up to which
-    position of the source nothing is missing. Takes updates from the source or from other nodes and
-    gives those that others lack. Deciding code without I/O.
+/** A node's view of the mesh: the configuration, the directory of instances, and the position of
+    the source up to which both are complete. Applies updates from the source or from other nodes,
+    and provides the updates that other nodes lack. Contains no I/O.
 */
 #pragma once
 
@@ -12,10 +12,10 @@
 namespace copperlead::mesh
 {
 
-/** What became of the configuration that an update held. */
+/** Result of applying the configuration in an update. */
 struct ConfigurationOutcome
 {
-    std::optional<ConfigurationVerdict> verdict; /**< Empty: it was refused by `error`. */
+    std::optional<ConfigurationVerdict> verdict; /**< Empty if refused; see `error`. */
     Error error;
     std::uint64_t version = 0, before = 0;
     SourcePosition position;
@@ -23,13 +23,16 @@
 
 struct UpdateOutcome
 {
-    bool listingIgnored = false;   /**< The update is a listing older than the position reached. */
-    bool restored = false;         /**< The update is the first of a later epoch. */
-    bool instancesChanged = false; /**< Or which of them may be used. */
-    std::vector<EvacuationChange> evacuations; /**< Zones that were evacuated or given back. */
-    std::optional<ConfigurationOutcome> configuration; /**< Empty: the update held none. */
-    std::vector<std::string> wentBack; /**< Ids of instances whose entries tell of an earlier start
-                                          than before. */
+    bool listingIgnored = false; /**< The update is a listing older than the position reached. */
+    bool restored = false;       /**< The update is the first of a later epoch. */
+
+    /** True if the instances, or which of them are usable, may have changed. */
+    bool instancesChanged = false;
+    std::vector<EvacuationChange> evacuations; /**< Evacuations that were ordered or ended. */
+    std::optional<ConfigurationOutcome> configuration; /**< Empty if the update had none. */
+
+    /** Ids of instances whose entries show an earlier start than the known one. */
+    std::vector<std::string> wentBack;
 };
 
 /** Not thread-safe. */
@@ -41,7 +44,7 @@
     /** Ends expired lapses and retentions. @returns the evacuations that changed */
     std::vector<EvacuationChange> advance (Timestamp now);
 
-    /** The changes that a node lacks that has reached `position` and runs `version` (0: none). */
+    /** @returns what a node lacks that has reached `position` and runs `version` (0: none) */
     MeshUpdate changesSince (SourcePosition position, std::uint64_t version) const;
 
     const ConfigurationHolder& configurations() const { return holder; }
--- a/src/mesh/mesh_update.cc
+++ b/src/mesh/mesh_update.cc
@@ -18,11 +18,11 @@
 namespace
 {
 
-constexpr std::size_t largestUpdate = 64 << 20;
-constexpr std::size_t worthCompressing = 512;
-constexpr char plainMark = 'p', compressedMark = 'z';
+constexpr std::size_t maxUpdateBytes = 64 << 20;
+constexpr std::size_t compressionThreshold = 512;
+constexpr char plainFormat = 'p', compressedFormat = 'z';
 
-/** Routes or tenants by their names. */
+/** Indexes routes or tenants by name. */
 template <typename Item>
 std::map<std::string_view, const Item*> byName (const std::vector<Item>& items)
 {
@@ -34,8 +34,8 @@
     return found;
 }
 
-/** Finds the items of `next` that `base` lacks or has otherwise, and the names of those that only
-    `base` has.
+/** Finds the items of `next` that are missing from or different in `base`, and the names of the
+    items that only `base` contains.
 */
 template <typename Item>
 void findChanges (const std::vector<Item>& base, const std::vector<Item>& next,
@@ -58,7 +58,7 @@
         removed.emplace_back (name);
 }
 
-/** Adds the items of `base` that a change neither replaces nor removes. */
+/** Appends the items of `base` that a change neither replaces nor removes. */
 template <typename Item>
 void keepUnchanged (const std::vector<Item>& base, const std::vector<std::string>& removed,
                     std::vector<Item>& items)
@@ -177,7 +177,8 @@
 
     if (base == nullptr || base->version != change.baseVersion)
         return Fail (ErrorKind::kUnknownBase, "version " + std::to_string (change.content.version),
-                     "changes version " + std::to_string (change.baseVersion));
+                     "is based on a version that isn't running: " +
+                         std::to_string (change.baseVersion));
 
     auto whole = std::move (change.content);
     keepUnchanged (base->routes, change.removedRoutes, whole.routes);
@@ -192,22 +193,22 @@
     archive (update);
     auto plain = std::move (stream).str();
 
-    if (plain.size() < worthCompressing)
-        return plainMark + plain;
+    if (plain.size() < compressionThreshold)
+        return plainFormat + plain;
 
-    return compressedMark + Compress (plain);
+    return compressedFormat + Compress (plain);
 }
 
 Result<MeshUpdate> decodeMeshUpdate (const std::string& bytes)
 {
-    if (bytes.empty() || (bytes[0] != plainMark && bytes[0] != compressedMark))
-        return Fail (ErrorKind::kBadFrame, "update", "unknown form");
+    if (bytes.empty() || (bytes[0] != plainFormat && bytes[0] != compressedFormat))
+        return Fail (ErrorKind::kBadFrame, "update", "unknown encoding");
 
     auto plain = bytes.substr (1);
 
-    if (bytes[0] == compressedMark)
+    if (bytes[0] == compressedFormat)
     {
-        BOOST_LEAF_AUTO (expanded, Decompress (plain, largestUpdate));
+        BOOST_LEAF_AUTO (expanded, Decompress (plain, maxUpdateBytes));
         plain = std::move (expanded);
     }
 
--- a/src/mesh/mesh_update.h
+++ b/src/mesh/mesh_update.h
@@ -1,5 +1,5 @@
-/** What changed at the discovery source, in the product's own types: from the source itself, or
-   from a node that has read it.
+/** Changes at the discovery source, independent of the source's format. They come from the source
+    itself or from a node that has read it.
 */
 #pragma once
 
@@ -15,52 +15,58 @@
 namespace copperlead::mesh
 {
 
-/** An instance's entry as it is now, or that it is gone. */
+/** The current entry of an instance, or its removal. */
 struct InstanceChange
 {
-    Instance instance; /**< Only its id counts when it is gone. */
+    Instance instance; /**< Only its id is valid if it is gone. */
     SourcePosition position;
     bool gone = false;
-    bool trusted = true; /**< Of one that is gone: the source was sound when its entry vanished. */
+
+    /** For a removal: true if the source was healthy when the entry disappeared. */
+    bool trusted = true;
     bool retained = false; /**< It is leaving although a restored source lists it as ready. */
 };
 
-/** A later configuration: whole, or the routes and tenants in which it differs from an earlier
+/** A later configuration, either complete or as the routes and tenants that differ from an earlier
     version.
 */
 struct ConfigurationChange
 {
     SourcePosition position;
-    std::uint64_t baseVersion = 0; /**< 0: whole. */
-    /** Holds only added and changed routes and tenants unless whole. */
+    std::uint64_t baseVersion = 0; /**< 0 if `content` is complete. */
+
+    /** Contains only added and changed routes and tenants unless complete. */
     MeshConfiguration content;
     std::vector<std::string> removedRoutes{}, removedTenants{};
 };
 
 struct MeshUpdate
 {
-    bool complete = false; /**< Holds every instance: those it lacks are gone. */
-    bool trusted = true;   /**< Of those that a complete update lacks. */
-    SourcePosition at;     /**< The source's position up to which nothing is missing. */
+    bool complete = false; /**< True if every instance is included; all others are gone. */
+
+    /** For a complete update: true if the absence of instances can be trusted. */
+    bool trusted = true;
+    SourcePosition at; /**< Position of the source up to which the update is complete. */
     std::vector<InstanceChange> instances;
     std::vector<EvacuationChange> evacuations;
     std::optional<ConfigurationChange> configuration;
 };
 
-/** Finds what `next` changes against `base`. */
+/** @returns the changes from `base` to `next` */
 ConfigurationChange difference (const MeshConfiguration& base, const MeshConfiguration& next,
                                 SourcePosition position);
 
-/** Rebuilds the whole configuration.
-    @returns kUnknownBase when `base` isn't the version that the change was made against
+/** Rebuilds the complete configuration.
+    @returns kUnknownBase if `base` isn't the version on which the change is based
 */
 Result<MeshConfiguration> rebuild (const MeshConfiguration* base, ConfigurationChange change);
 
-/** Codec of updates between nodes: cereal's portable binary form, compressed when that is shorter.
- */
+/** Encodes an update for another node in cereal's portable binary format, compressed
+    unless it is small.
+*/
 std::string encode (const MeshUpdate& update);
 
-/** @returns kBadFrame or kOversized for damaged bytes */
+/** @returns kBadFrame or kOversized for malformed input */
 Result<MeshUpdate> decodeMeshUpdate (const std::string& bytes);
 
 } // namespace copperlead::mesh
--- a/tests/mesh/mesh_state_test.cc
+++ b/tests/mesh/mesh_state_test.cc
@@ -41,24 +41,24 @@
     return found == snapshot->byService.end() ? 0 : found->second.size();
 }
 
-/** Hands what `from` has and `to` lacks over the wire. */
-UpdateOutcome passOn (const MeshState& from, MeshState& to)
+/** Sends the changes that `to` lacks from `from`, through the codec. */
+UpdateOutcome sendUpdate (const MeshState& from, MeshState& to)
 {
     const auto update = from.changesSince (to.reached(), to.configurations().version());
     return to.take (at (5), Resolve ([&] { return decodeMeshUpdate (encode (update)); }).value());
 }
 
-TEST (MeshState, ANodeThatHasNothingGetsEverythingFromAnother)
+TEST (MeshState, ANewNodeReceivesTheCompleteState)
 {
     MeshState reader, node;
     reader.take (at (0), whole (4, 9));
-    const auto outcome = passOn (reader, node);
+    const auto outcome = sendUpdate (reader, node);
     EXPECT_EQ (outcome.configuration->verdict, ConfigurationVerdict::taken);
     EXPECT_EQ (node.reached(), revision (9));
     EXPECT_EQ (usable (node), 2U);
 }
 
-TEST (MeshState, AListingOlderThanWhatIsKnownTeachesNothing)
+TEST (MeshState, IgnoresAListingOlderThanThePositionReached)
 {
     MeshState node;
     node.take (at (0), whole (4, 9));
@@ -72,27 +72,27 @@
     EXPECT_EQ (node.reached(), revision (10));
 }
 
-TEST (MeshState, ANodeThatIsUpToDateGetsNothing)
+TEST (MeshState, AnUpToDateNodeReceivesNoChanges)
 {
     MeshState reader, node;
     reader.take (at (0), whole (4, 9));
-    passOn (reader, node);
+    sendUpdate (reader, node);
     const auto again = reader.changesSince (revision (9), 4);
     EXPECT_FALSE (again.complete);
     EXPECT_TRUE (again.instances.empty());
     EXPECT_FALSE (again.configuration);
 }
 
-TEST (MeshState, ADifferenceIsTakenAndAnotherVersionInBetweenAsksForTheWhole)
+TEST (MeshState, AChangeOfAnotherBaseIsRefusedAndTheCompleteConfigurationApplied)
 {
     MeshState reader, node;
     reader.take (at (0), whole (4, 9));
-    passOn (reader, node);
+    sendUpdate (reader, node);
     reader.take (at (1), whole (6, 12));
     const auto change = reader.changesSince (revision (9), 4);
     EXPECT_EQ (change.configuration->baseVersion, 4U);
 
-    node.take (at (1), whole (5, 11)); // From the source itself, meanwhile.
+    node.take (at (1), whole (5, 11)); // The node reads version 5 from the source itself.
     const auto refused = node.take (at (2), change);
     EXPECT_FALSE (refused.configuration->verdict);
     EXPECT_EQ (refused.configuration->error.kind, ErrorKind::kUnknownBase);
@@ -102,7 +102,7 @@
     EXPECT_EQ (node.configurations().version(), 6U);
 }
 
-TEST (MeshState, OlderVersionsAreRefusedAndDamagedOnesLeaveTheRunningOne)
+TEST (MeshState, OlderAndInvalidConfigurationsAreRefused)
 {
     MeshState state;
     state.take (at (0), whole (6, 9));
@@ -116,36 +116,36 @@
     EXPECT_EQ (state.configurations().version(), 6U);
 }
 
-TEST (MeshState, DepartedAndLapsedInstancesAreToldApart)
+TEST (MeshState, DistinguishesDepartedAndLapsedInstances)
 {
     MeshState reader, node;
     reader.take (at (0), whole (4, 9));
-    passOn (reader, node);
+    sendUpdate (reader, node);
     reader.take (at (1), gone ("a", 10, true));
     reader.take (at (1), gone ("b", 11, false));
-    passOn (reader, node);
+    sendUpdate (reader, node);
     EXPECT_EQ (usable (node), 1U);
     EXPECT_EQ (node.directory().snapshot()->byService.at ("desk")[0].state, InstanceState::lapsed);
 }
 
-TEST (MeshState, ANodeThatHasJustStartedDoesNotHideWhatLeftBefore)
+TEST (MeshState, AnUpdateOfANewNodeRemovesInstancesThatLeftBeforeItsStart)
 {
     MeshState node, started;
     node.take (at (0), whole (4, 9));
-    // "b" left at 10; who lists the source after that never knew it.
+    // Instance "b" left at revision 10, so a node that lists the source later does not know it.
     auto listing = whole (5, 12);
     listing.instances.pop_back();
     started.take (at (1), listing);
-    passOn (started, node);
+    sendUpdate (started, node);
     EXPECT_EQ (node.reached(), revision (12));
     EXPECT_EQ (usable (node), 1U);
 }
 
-TEST (MeshState, WhatLapsedStaysUsableAlsoForThoseWhoGetEverything)
+TEST (MeshState, LapsedInstancesStayUsableAfterACompleteUpdate)
 {
     MeshState reader, node;
     reader.take (at (0), whole (4, 9));
-    passOn (reader, node);
+    sendUpdate (reader, node);
     reader.take (at (1), gone ("b", 10, false));
     reader.take (at (1), gone ("a", 11, true));
     auto update = reader.changesSince (revision (0), 4);
@@ -162,36 +162,36 @@
     return update;
 }
 
-TEST (MeshState, InstancesOfAnEvacuatedZoneGetNothingUntilItIsTakenBack)
+TEST (MeshState, InstancesOfAnEvacuatedZoneAreUnusableUntilTheEvacuationEnds)
 {
     MeshState reader, node;
     reader.take (at (0), whole (4, 9));
-    passOn (reader, node);
+    sendUpdate (reader, node);
     reader.take (at (1), evacuation ("z1", 10, false));
-    const auto outcome = passOn (reader, node);
+    const auto outcome = sendUpdate (reader, node);
     EXPECT_TRUE (outcome.instancesChanged);
     ASSERT_EQ (outcome.evacuations.size(), 1U);
     EXPECT_EQ (usable (node), 0U);
     EXPECT_EQ (node.directory().snapshot()->evacuatedZones, std::set<std::string>{ "z1" });
-    EXPECT_EQ (node.directory().snapshot()->nodes, 2U) << "its nodes go on";
+    EXPECT_EQ (node.directory().snapshot()->nodes, 2U) << "the nodes of the zone keep running";
 
     reader.take (at (2), evacuation ("z1", 11, true));
-    EXPECT_EQ (passOn (reader, node).evacuations.size(), 1U);
+    EXPECT_EQ (sendUpdate (reader, node).evacuations.size(), 1U);
     EXPECT_EQ (usable (node), 2U);
 }
 
-TEST (MeshState, ANodeThatStartsDuringAnEvacuationLearnsOfItWithTheRest)
+TEST (MeshState, ANodeThatStartsDuringAnEvacuationReceivesIt)
 {
     MeshState reader, node;
     reader.take (at (0), whole (4, 9));
     reader.take (at (1), evacuation ("z1", 10, false));
     reader.take (at (1), evacuation ("z2", 11, false));
-    passOn (reader, node);
+    sendUpdate (reader, node);
     EXPECT_EQ (node.evacuatedZones(), (std::set<std::string>{ "z1", "z2" }));
     EXPECT_EQ (usable (node), 0U);
 }
 
-TEST (MeshState, AListingWithoutTheOrderTakesTheEvacuationBack)
+TEST (MeshState, AListingWithoutTheOrderEndsTheEvacuation)
 {
     MeshState node;
     node.take (at (0), whole (4, 9));
--- a/tests/mesh/mesh_update_test.cc
+++ b/tests/mesh/mesh_update_test.cc
@@ -18,7 +18,7 @@
     return routes;
 }
 
-TEST (MeshUpdate, ADifferenceHoldsOnlyWhatChangedAndRebuildsTheWhole)
+TEST (MeshUpdate, ADifferenceContainsOnlyChangesAndRebuildsTheConfiguration)
 {
     const auto base = makeConfiguration (4);
     auto next = makeConfiguration (9);
@@ -67,7 +67,7 @@
     return update;
 }
 
-TEST (MeshUpdate, ComesBackAsItWasAndIsSmall)
+TEST (MeshUpdate, RoundTripsInACompactEncoding)
 {
     const auto update = largeUpdate();
     const auto bytes = encode (update);
@@ -84,7 +84,7 @@
     EXPECT_EQ (read.value().configuration->content.routes, update.configuration->content.routes);
 }
 
-TEST (MeshUpdate, DamagedBytesAreRefused)
+TEST (MeshUpdate, MalformedInputIsRefused)
 {
     auto bytes = encode (largeUpdate());
     const auto refused = [] (const std::string& damaged)
@@ -95,7 +95,7 @@
     EXPECT_TRUE (refused (encode (MeshUpdate{}).substr (0, 4)));
 }
 
-TEST (InstanceDirectory, TellsWhatChangedSinceARevisionUntilItForgets)
+TEST (InstanceDirectory, ReturnsChangesSinceARevisionUntilRemovalsExpire)
 {
     InstanceDirectory directory;
     directory.put (at (0), makeInstance ("a", "z1", 1), revision (5));
@@ -108,13 +108,14 @@
 
     directory.advance (at (40'000));
     changes.clear();
-    EXPECT_FALSE (directory.changesSince (revision (6), changes)); // It can't know that b is gone.
+    // The directory no longer knows that "b" was removed.
+    EXPECT_FALSE (directory.changesSince (revision (6), changes));
     changes.clear();
     EXPECT_TRUE (directory.changesSince (revision (8), changes));
     EXPECT_TRUE (changes.empty());
 }
 
-TEST (MeshUpdate, ColdTimesAndEvacuationsTravel)
+TEST (MeshUpdate, RoundTripsColdStartTimesAndEvacuations)
 {
     MeshUpdate update;
     auto instance = makeInstance ("a", "z1", 1);
--- a/tests/mesh/restored_source_state_test.cc
+++ b/tests/mesh/restored_source_state_test.cc
@@ -1,5 +1,5 @@
-// State of a node after its source was restored from a backup, which lists older entries and reuses
-// revisions in a later epoch.
+// Tests of a node's state after its source was restored from a backup. The source then lists older
+// entries and reuses revisions in a later epoch.
 #include <gtest/gtest.h>
 
 #include "mesh/mesh_state.h"
@@ -44,14 +44,14 @@
         return change;
     }
 
-    /** Takes a change, then a listing that lacks it. */
-    void restoreAfter (const InstanceChange& change)
+    /** Applies a change, then a listing that lacks it. */
+    void loseInRestore (const InstanceChange& change)
     {
         node.take (at (1), event (change, { 1, 21 }));
         node.take (at (2), listing ({ 2, 15 }, 6));
     }
 
-    /** A complete listing of `entries` at a position. */
+    /** Makes a complete listing of `entries` at a position. */
     MeshUpdate listing (SourcePosition position, std::uint64_t version)
     {
         MeshUpdate update;
@@ -69,7 +69,7 @@
         return update;
     }
 
-    /** The change of one entry, as a watch reports it. */
+    /** Makes the update that a watch returns for a change of one entry. */
     static MeshUpdate event (InstanceChange change, SourcePosition position)
     {
         MeshUpdate update;
@@ -90,7 +90,7 @@
         return ids;
     }
 
-    static UpdateOutcome passOn (const MeshState& from, MeshState& to, std::int64_t now)
+    static UpdateOutcome sendUpdate (const MeshState& from, MeshState& to, std::int64_t now)
     {
         const auto update = from.changesSince (to.reached(), to.configurations().version());
         return to.take (at (now),
@@ -122,7 +122,7 @@
 {
     MeshState started;
     started.take (at (1), listing ({ 2, 15 }, 4));
-    const auto outcome = passOn (node, started, 2);
+    const auto outcome = sendUpdate (node, started, 2);
     EXPECT_EQ (outcome.configuration->verdict, ConfigurationVerdict::taken);
     EXPECT_EQ (started.configurations().version(), 6U);
     EXPECT_EQ (started.reached(), (SourcePosition{ 2, 15 }));
@@ -142,7 +142,7 @@
 
 TEST_F (RestoredSourceState, ADrainingInstanceThatIsListedAsReadyAgainIsNotUsed)
 {
-    restoreAfter (draining());
+    loseInRestore (draining());
     EXPECT_EQ (usable (node), Ids{ "b" });
     node.take (at (3), listing ({ 2, 16 }, 6));
     node.take (at (4), listing ({ 3, 12 }, 6));
@@ -154,27 +154,27 @@
 
 TEST_F (RestoredSourceState, ADrainingInstanceIsUsedAgainOnceItsEntryIsRewritten)
 {
-    restoreAfter (draining());
+    loseInRestore (draining());
     node.take (at (3), event (entries["a"], { 2, 16 }));
     EXPECT_EQ (usable (node), (Ids{ "a", "b" }));
 }
 
 TEST_F (RestoredSourceState, ARemovedInstanceIsUsedAgainAfterTheRetentionTime)
 {
-    restoreAfter (gone());
+    loseInRestore (gone());
     node.advance (at (29'000));
     EXPECT_EQ (usable (node), Ids{ "b" });
     node.advance (at (31'000));
     EXPECT_EQ (usable (node), (Ids{ "a", "b" }));
 }
 
-TEST_F (RestoredSourceState, PassesOnARemovalThatTheSourceLost)
+TEST_F (RestoredSourceState, ForwardsARemovalThatTheSourceLost)
 {
-    restoreAfter (gone());
+    loseInRestore (gone());
     MeshState started, cutOff;
     cutOff.take (at (0), listing ({ 1, 18 }, 6));
-    passOn (node, started, 3);
-    passOn (node, cutOff, 3);
+    sendUpdate (node, started, 3);
+    sendUpdate (node, cutOff, 3);
     EXPECT_EQ (usable (started), Ids{ "b" });
     EXPECT_EQ (usable (cutOff), Ids{ "b" });
     EXPECT_EQ (cutOff.reached(), node.reached());
@@ -212,7 +212,7 @@
 
 TEST_F (RestoredSourceState, ASuccessorWithALowerRevisionTakesOverTheAddress)
 {
-    node.take (at (1), listing ({ 2, 3 }, 6)); // "a" was created at 5 of epoch 1.
+    node.take (at (1), listing ({ 2, 3 }, 6)); // Instance "a" was created at revision 5 of epoch 1.
     auto next = entries["a"];
     next.instance.id = "next";
     next.instance.createdAt = { 2, 4 };
@@ -220,7 +220,7 @@
     EXPECT_EQ (node.directory().snapshot()->byAddress.at ("10.0.0.1:8000").instance.id, "next");
 }
 
-MeshUpdate order (SourcePosition position, bool over)
+MeshUpdate evacuationOrder (SourcePosition position, bool over)
 {
     MeshUpdate update;
     update.at = position;
@@ -230,11 +230,11 @@
 
 TEST_F (RestoredSourceState, AnEvacuationThatTheSourceLostIsRetainedForALimitedTime)
 {
-    node.take (at (1), order ({ 1, 21 }, false));
+    node.take (at (1), evacuationOrder ({ 1, 21 }, false));
     EXPECT_TRUE (node.take (at (2), listing ({ 2, 15 }, 6)).evacuations.empty());
     node.take (at (3), listing ({ 2, 16 }, 6));
     MeshState started;
-    passOn (node, started, 4);
+    sendUpdate (node, started, 4);
 
     for (auto* const state : { &node, &started })
     {
@@ -245,28 +245,28 @@
     }
 }
 
-TEST_F (RestoredSourceState, AnEvacuationThatIsOrderedAgainHoldsUntilItIsTakenBack)
+TEST_F (RestoredSourceState, AnEvacuationThatIsOrderedAgainLastsUntilItIsCancelled)
 {
-    node.take (at (1), order ({ 1, 21 }, false));
+    node.take (at (1), evacuationOrder ({ 1, 21 }, false));
     node.take (at (2), listing ({ 2, 15 }, 6));
-    node.take (at (3), order ({ 2, 16 }, false));
+    node.take (at (3), evacuationOrder ({ 2, 16 }, false));
     EXPECT_TRUE (node.advance (at (60'000)).empty());
     EXPECT_TRUE (usable (node).empty());
-    node.take (at (60'001), order ({ 2, 17 }, true));
+    node.take (at (60'001), evacuationOrder ({ 2, 17 }, true));
     EXPECT_EQ (usable (node).size(), 2U);
 }
 
-TEST_F (RestoredSourceState, AnEvacuationThatWasTakenBackIsNotRevived)
+TEST_F (RestoredSourceState, ACancelledEvacuationIsNotRestored)
 {
-    node.take (at (1), order ({ 1, 21 }, false));
-    node.take (at (2), order ({ 1, 22 }, true));
+    node.take (at (1), evacuationOrder ({ 1, 21 }, false));
+    node.take (at (2), evacuationOrder ({ 1, 22 }, true));
     auto copy = listing ({ 2, 21 }, 6);
     copy.evacuations = { { "z1", { 2, 21 }, false } };
     node.take (at (3), copy);
     copy.at.revision = 22;
     node.take (at (4), copy);
     EXPECT_EQ (usable (node).size(), 2U);
-    node.take (at (5), order ({ 2, 23 }, false));
+    node.take (at (5), evacuationOrder ({ 2, 23 }, false));
     EXPECT_TRUE (usable (node).empty());
 }
 
