--- a/src/mesh/reader_beat_codec.cc
+++ b/src/mesh/reader_beat_codec.cc
@@ -7,7 +7,7 @@
 namespace
 {
 
-constexpr std::uint32_t beatMark = 0x636f7064; // Tells beats of this form from stray datagrams.
+constexpr std::uint32_t heartbeatTag = 0x636f7064; // Distinguishes heartbeats from stray datagrams.
 
 } // namespace
 
@@ -18,11 +18,11 @@
              beat.sound, beat.reads);
 }
 
-std::string encode (const ReaderBeat& beat) { return encodeDatagram (beatMark, beat); }
+std::string encode (const ReaderBeat& beat) { return encodeDatagram (heartbeatTag, beat); }
 
 std::optional<ReaderBeat> decodeReaderBeat (std::string_view bytes)
 {
-    return decodeDatagram<ReaderBeat> (beatMark, bytes);
+    return decodeDatagram<ReaderBeat> (heartbeatTag, bytes);
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/reader_beat_codec.h
+++ b/src/mesh/reader_beat_codec.h
@@ -1,4 +1,4 @@
-/** The datagram by which a reader tells its zone of itself. */
+/** Codec of the heartbeat datagrams that readers send. */
 #pragma once
 
 #include <optional>
@@ -12,7 +12,7 @@
 
 std::string encode (const ReaderBeat& beat);
 
-/** @returns nothing for damaged bytes */
+/** @returns std::nullopt for malformed input */
 std::optional<ReaderBeat> decodeReaderBeat (std::string_view bytes);
 
 } // namespace copperlead::mesh
--- a/src/mesh/sleep_watch.cc
+++ b/src/mesh/sleep_watch.cc
@@ -7,10 +7,10 @@
 
 std::optional<Sleep> SleepWatch::look (Timestamp now, Duration suspendedTime, Duration interval)
 {
-    const auto before = std::exchange (lookedAt, now);
-    const auto suspended = suspendedTime - std::exchange (suspendedBefore, suspendedTime);
+    const auto before = std::exchange (previousCheck, now);
+    const auto suspended = suspendedTime - std::exchange (previousSuspendedTime, suspendedTime);
 
-    if (before == Timestamp{} || now - before - interval < shortestSleep)
+    if (before == Timestamp{} || now - before - interval < minimumSleep)
         return std::nullopt;
 
     return Sleep{ now - before - interval, suspended };
--- a/src/mesh/sleep_watch.h
+++ b/src/mesh/sleep_watch.h
@@ -1,6 +1,5 @@
-/** Notices that the process has slept: suspended with its machine, stopped, or without a processor.
-   For its log only; what may not be too old is judged by its age each time. Deciding code without
-   I/O.
+/** Detects pauses of the process: it was suspended with its machine, stopped, or not scheduled. The
+    result is only logged; data that expires is checked by its age at each use. Contains no I/O.
 */
 #pragma once
 
@@ -13,26 +12,26 @@
 
 struct Sleep
 {
-    Duration asleep{};    /**< Beyond the time at which it should have looked again. */
-    Duration suspended{}; /**< Of it: with the whole machine. */
+    Duration asleep{};    /**< Delay of the call past the time at which it was due. */
+    Duration suspended{}; /**< Part in which the whole machine was suspended. */
 };
 
 /** Not thread-safe. */
 class SleepWatch
 {
 public:
-    /** Shorter ones are usual on a busy machine. */
-    static constexpr Milliseconds shortestSleep{ 1000 };
+    /** Shorter pauses are normal on a machine under load. */
+    static constexpr Milliseconds minimumSleep{ 1000 };
 
-    /** To be called about every `interval`.
-        @param suspendedTime  of the machine since its start
-        @returns the sleep since the last call, if there was one
+    /** Checks for a pause since the previous call; to be called about every `interval`.
+        @param suspendedTime  total time for which the machine has been suspended since its start
+        @returns the pause, if there was one
     */
     std::optional<Sleep> look (Timestamp now, Duration suspendedTime, Duration interval);
 
 private:
-    Timestamp lookedAt{};
-    Duration suspendedBefore{};
+    Timestamp previousCheck{};
+    Duration previousSuspendedTime{};
 };
 
 } // namespace copperlead::mesh
--- a/tests/mesh/fleet_start_test.cc
+++ b/tests/mesh/fleet_start_test.cc
@@ -1,5 +1,6 @@
-// Many nodes that start together while the entries of their instances appear one after the other:
-// who reads the source, what that costs, and when each node is up to date.
+// Simulation of many nodes that start together while their instances are listed one after the
+// other. The tests check which nodes read the source, how many calls they make, and when each node
+// is up to date.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,11 +20,13 @@
 {
 
 constexpr int stepMs = 10;
-constexpr std::int64_t beatMs = 250, callMs = 20, pageSize = 200;
+constexpr std::int64_t heartbeatMs = 250, callMs = 20, pageSize = 200;
 constexpr int entriesPerSecond = 140, firstEntryMs = 800;
 constexpr std::size_t zones = 6;
 
-/** The source lists the configuration at revision 1, and the n-th instance at n + 2. */
+/** Nodes and their source, which lists the configuration at revision 1 and the n-th instance at
+    n + 2.
+*/
 class StartingFleet
 {
 public:
@@ -40,7 +43,8 @@
                 step (*node);
     }
 
-    /** Nodes that haven't been up to date with the source in the last second. */
+    /** @returns the number of nodes that haven't been up to date with the source in the last second
+     */
     std::size_t outOfDate() const
     {
         return countIf ([&] (const Node& n) { return isLate (n); });
@@ -56,7 +60,7 @@
         return countIf ([] (const Node& n) { return n.role.reading(); });
     }
 
-    bool listsNothing = false; /**< Instances: they never come to be listed. */
+    bool listsNothing = false; /**< True if instances are never listed. */
     bool fails = false;
     std::size_t calls = 0, staleCalls = 0;
 
@@ -94,11 +98,11 @@
         SourceFollower follower;
         Subscriptions subscriptions;
         std::uint64_t reached = 0;
-        std::int64_t answerAt = -1, pullAt = -1, beatAt = -10'000;
+        std::int64_t answerAt = -1, fetchAt = -1, heartbeatAt = -10'000;
         SourceRequest request;
-        std::uint64_t toPull = 0;
+        std::uint64_t fetchRevision = 0;
         std::vector<std::string> peers;
-        std::uint64_t peersAt = 0; /**< The revision up to which `peers` are known. */
+        std::uint64_t peersAt = 0; /**< Revision of the listing from which `peers` was computed. */
     };
 
     static std::uint64_t seedOf (std::size_t index) { return (index + 1) * 2'654'435'761; }
@@ -113,11 +117,11 @@
 
     bool isLate (const Node& node) const
     {
-        const bool told = at (now) - node.role.satisfiedAt() <= Milliseconds (1000);
-        return ! told && ! node.follower.reached (at (now));
+        const bool heard = at (now) - node.role.satisfiedAt() <= Milliseconds (1000);
+        return ! heard && ! node.follower.reached (at (now));
     }
 
-    /** How many instances are listed. */
+    /** @returns the number of listed instances */
     std::uint64_t listed() const
     {
         const auto count =
@@ -163,10 +167,10 @@
         if (node.answerAt >= 0 && now >= node.answerAt)
             answer (node);
 
-        if (node.pullAt >= 0 && now >= node.pullAt)
+        if (node.fetchAt >= 0 && now >= node.fetchAt)
         {
-            node.pullAt = -1;
-            learn (node, node.toPull);
+            node.fetchAt = -1;
+            learn (node, node.fetchRevision);
         }
 
         decide (node);
@@ -193,7 +197,8 @@
         answer.reply = fails ? SourceReply::refused : SourceReply::entries;
         answer.at = { 0, revision() };
 
-        // Entries are told apart by their revisions, which are as long as keys.
+        // Each entry's key is derived from its revision with a fixed number of digits, so that keys
+        // sort by revision.
         const auto key = [] (std::uint64_t r) { return std::to_string (10'000 + r); };
         const auto from =
             node.request.call == SourceCall::watch
@@ -259,32 +264,34 @@
 
     void beat (Node& node)
     {
-        if (! node.role.reading() || now - node.beatAt < beatMs)
+        if (! node.role.reading() || now - node.heartbeatAt < heartbeatMs)
             return;
 
-        node.beatAt = now;
+        node.heartbeatAt = now;
         const bool sound = node.follower.reached (at (now));
-        const ReaderBeat said{ nameOf (node.index), "z", node.rank, { 0, node.reached }, 1, sound };
-        auto told = peersOf (node);
+        const ReaderBeat heartbeat{ nameOf (node.index), "z", node.rank,
+                                    { 0, node.reached }, 1,   sound };
+        auto receivers = peersOf (node);
 
         for (const auto& name : node.subscriptions.subscribers (at (now)))
-            told.push_back (name);
+            receivers.push_back (name);
 
-        for (const auto& name : told)
-            hear (*nodes[std::stoull (name.substr (1))], said);
+        for (const auto& name : receivers)
+            hear (*nodes[std::stoull (name.substr (1))], heartbeat);
     }
 
-    void hear (Node& node, const ReaderBeat& said)
+    void hear (Node& node, const ReaderBeat& heartbeat)
     {
-        node.role.heard (at (now), said);
+        node.role.heard (at (now), heartbeat);
 
-        if (said.sound)
-            send (node, node.subscriptions.heardReader (at (now), said.node, node.role.reading()));
+        if (heartbeat.sound)
+            send (node,
+                  node.subscriptions.heardReader (at (now), heartbeat.node, node.role.reading()));
 
-        if (said.at.revision > node.reached && node.pullAt < 0)
+        if (heartbeat.at.revision > node.reached && node.fetchAt < 0)
         {
-            node.pullAt = now + callMs;
-            node.toPull = said.at.revision;
+            node.fetchAt = now + callMs;
+            node.fetchRevision = heartbeat.at.revision;
         }
     }
 
@@ -292,13 +299,13 @@
     std::int64_t now = 0;
 };
 
-TEST (FleetStart, CostsNoMoreCallsANodeTheMoreNodesThereAre)
+TEST (FleetStart, CallsPerNodeDoNotGrowWithTheNumberOfNodes)
 {
     for (const std::size_t size : { 50, 200, 1000, 2000 })
     {
         StartingFleet fleet (size);
         fleet.runUntil (16'000);
-        // Old answers cost a tenth of a call. The readers of six zones go on all the time.
+        // Stale answers cost a tenth of a call. The readers of six zones make calls continuously.
         const auto cost = fleet.calls + fleet.staleCalls / 10;
         EXPECT_LE (cost, 16 * 2 * zones + size / 2) << size << " nodes";
         EXPECT_EQ (fleet.outOfDate(), 0) << size << " nodes";
@@ -306,7 +313,7 @@
     }
 }
 
-TEST (FleetStart, EveryNodeIsReadyAndUpToDateWhileMostArentListed)
+TEST (FleetStart, EveryNodeIsReadyAndUpToDateBeforeMostAreListed)
 {
     for (const std::size_t size : { 12, 50, 200, 1000 })
     {
@@ -326,7 +333,7 @@
     EXPECT_EQ (fleet.outOfDate(), 0);
 }
 
-TEST (FleetStart, ASourceThatRefusesAllAtFirstDelaysNobodyOnceItAnswers)
+TEST (FleetStart, NodesCatchUpSoonAfterASourceThatRefusedCallsAnswers)
 {
     StartingFleet fleet (200);
     fleet.fails = true;
--- a/tests/mesh/sleep_watch_test.cc
+++ b/tests/mesh/sleep_watch_test.cc
@@ -1,4 +1,4 @@
-/** What a node believes after its machine was suspended for five seconds. */
+// Tests of a node's state after its machine was suspended for five seconds.
 #include "mesh/sleep_watch.h"
 
 #include <gtest/gtest.h>
@@ -14,41 +14,41 @@
 {
 
 constexpr Milliseconds interval{ 250 };
-constexpr std::int64_t sleep = 5000;
+constexpr std::int64_t pauseMs = 5000;
 
-TEST (SleepWatch, TellsHowLongItSleptAndHowMuchOfItWithTheMachine)
+TEST (SleepWatch, ReportsThePauseAndTheSuspendedPart)
 {
-    SleepWatch watch;
-    EXPECT_FALSE (watch.look (at (0), Milliseconds (70'000), interval));
-    EXPECT_FALSE (watch.look (at (250), Milliseconds (70'000), interval));
-    const auto slept = watch.look (at (500 + sleep), Milliseconds (74'000), interval);
-    ASSERT_TRUE (slept);
-    EXPECT_EQ (slept->asleep, Milliseconds (sleep));
-    EXPECT_EQ (slept->suspended, Milliseconds (4000));
-    EXPECT_FALSE (watch.look (at (750 + sleep), Milliseconds (74'000), interval));
+    SleepWatch detector;
+    EXPECT_FALSE (detector.look (at (0), Milliseconds (70'000), interval));
+    EXPECT_FALSE (detector.look (at (250), Milliseconds (70'000), interval));
+    const auto pause = detector.look (at (500 + pauseMs), Milliseconds (74'000), interval);
+    ASSERT_TRUE (pause);
+    EXPECT_EQ (pause->asleep, Milliseconds (pauseMs));
+    EXPECT_EQ (pause->suspended, Milliseconds (4000));
+    EXPECT_FALSE (detector.look (at (750 + pauseMs), Milliseconds (74'000), interval));
 }
 
-TEST (SleepWatch, ABusyMachineHasNotSlept)
+TEST (SleepWatch, IgnoresShortDelaysOnABusyMachine)
 {
-    SleepWatch watch;
-    watch.look (at (0), {}, interval);
-    EXPECT_FALSE (watch.look (at (1249), {}, interval));
+    SleepWatch detector;
+    detector.look (at (0), {}, interval);
+    EXPECT_FALSE (detector.look (at (1249), {}, interval));
 }
 
-TEST (AfterASleep, AGrantHasLapsed)
+TEST (AfterASleep, AGrantHasExpired)
 {
     QuotaLease lease;
     lease.granted (at (0), 10, 5);
     EXPECT_EQ (lease.take (at (10)), QuotaStep::pass);
-    EXPECT_EQ (lease.take (at (10 + sleep)), QuotaStep::wait);
+    EXPECT_EQ (lease.take (at (10 + pauseMs)), QuotaStep::wait);
 }
 
-TEST (AfterASleep, AnEntryThatLapsedBeforeIsNoLongerUsable)
+TEST (AfterASleep, AnInstanceThatLapsedBeforeIsNoLongerUsable)
 {
     InstanceDirectory directory;
     directory.put (at (0), makeInstance ("a", "z1", 1), revision (5));
     directory.remove (at (10), "a", revision (6), false);
-    directory.advance (at (10 + sleep));
+    directory.advance (at (10 + pauseMs));
     EXPECT_TRUE (directory.snapshot()->byService.empty());
 }
 
@@ -56,10 +56,10 @@
 {
     CrashLedger ledger{ CrashLimits() };
     ledger.merge (at (0), { { 1, 1 }, { { 11, false }, { 12, false } }, {} });
-    EXPECT_TRUE (ledger.holdOf (at (sleep), { 1, 1 }));
+    EXPECT_TRUE (ledger.holdOf (at (pauseMs), { 1, 1 }));
 }
 
-TEST (AfterASleep, TimeThatTheMachineWasSuspendedCounts)
+TEST (AfterASleep, TheClockIncludesSuspendedTime)
 {
     const auto before = ReadClock (CLOCK_BOOTTIME);
     const auto read = SteadyClock().Now().time_since_epoch();
--- a/tests/mesh/zone_outage_test.cc
+++ b/tests/mesh/zone_outage_test.cc
@@ -1,4 +1,5 @@
-// The nodes of one zone, each with its role and its follower, before a source that fails.
+// Simulation of the nodes of one zone, each with a reader role and a follower, during failures of
+// the source.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -15,9 +16,9 @@
 {
 
 constexpr int stepMs = 10;
-constexpr std::int64_t beatMs = 250, callMs = 10;
+constexpr std::int64_t heartbeatMs = 250, callMs = 10;
 
-/** A zone whose beats arrive at once and whose source answers or refuses after 10 ms. */
+/** A zone whose heartbeats arrive immediately and whose source answers or refuses after 10 ms. */
 class Zone
 {
 public:
@@ -56,34 +57,35 @@
         return count;
     }
 
-    /** @returns the nodes that haven't been up to date with the source in the last second */
+    /** @returns the number of nodes that haven't been up to date with the source in the last second
+     */
     int outOfDate() const
     {
         int count = 0;
 
         for (const auto& node : nodes)
         {
-            const bool told = at (now) - node->role.satisfiedAt() <= Milliseconds (1000);
-            count += told || node->follower.reached (at (now)) ? 0 : 1;
+            const bool heard = at (now) - node->role.satisfiedAt() <= Milliseconds (1000);
+            count += heard || node->follower.reached (at (now)) ? 0 : 1;
         }
 
         return count;
     }
 
-    /** The source forgets its history; watches from before are turned away. */
-    void loseHistory() { forgotten = ++position.revision; }
+    /** Discards the history of the source, so that it rejects watches from earlier revisions. */
+    void loseHistory() { discardedBefore = ++position.revision; }
 
     /** Restores the source from a backup that lacks its latest five changes. */
     void restore()
     {
         ++position.epoch;
         position.revision -= 5;
-        forgotten = std::min (forgotten, position.revision);
+        discardedBefore = std::min (discardedBefore, position.revision);
     }
 
     void change() { ++position.revision; }
 
-    /** The number of nodes that lack the source's latest change. */
+    /** @returns the number of nodes that lack the source's latest change */
     int behind() const
     {
         int count = 0;
@@ -105,8 +107,8 @@
         std::string name;
         std::uint64_t hash = 0;
         SourceRequest request{};
-        std::int64_t answerAt = -1, beatAt = -10'000;
-        bool saidSound = false;
+        std::int64_t answerAt = -1, heartbeatAt = -10'000;
+        bool reportedHealthy = false;
     };
 
     void step (Node& node)
@@ -127,8 +129,8 @@
 
     bool isLost (const SourceRequest& request) const
     {
-        return request.call == SourceCall::watch &&
-               (request.afterRevision < forgotten || request.afterRevision > position.revision);
+        return request.call == SourceCall::watch && (request.afterRevision < discardedBefore ||
+                                                     request.afterRevision > position.revision);
     }
 
     void answer (Node& node)
@@ -172,44 +174,44 @@
     {
         const bool sound = node.follower.reached (at (now));
         const auto interval =
-            sound == node.saidSound
-                ? (sound ? beatMs
+            sound == node.reportedHealthy
+                ? (sound ? heartbeatMs
                          : std::max<std::int64_t> (1000, node.role.tryInterval (at (now)).count()))
                 : 0;
 
-        if (! node.role.reading() || now - node.beatAt < interval)
+        if (! node.role.reading() || now - node.heartbeatAt < interval)
             return;
 
-        node.beatAt = now;
-        node.saidSound = sound;
-        const ReaderBeat said{
+        node.heartbeatAt = now;
+        node.reportedHealthy = sound;
+        const ReaderBeat heartbeat{
             node.name, "z", { topStrength, node.hash }, node.follower.position(), 1, sound
         };
 
         for (auto& other : nodes)
             if (other.get() != &node)
-                hear (*other, said);
+                hear (*other, heartbeat);
     }
 
-    void hear (Node& node, const ReaderBeat& said)
+    void hear (Node& node, const ReaderBeat& heartbeat)
     {
-        node.role.heard (at (now), said);
+        node.role.heard (at (now), heartbeat);
 
-        // What changed is asked of the reader.
-        if (said.sound && said.at > node.follower.position() && ! node.role.reading())
+        // The node fetches the changes from the reader.
+        if (heartbeat.sound && heartbeat.at > node.follower.position() && ! node.role.reading())
         {
-            node.follower.pause (said.at);
-            node.role.reached (at (now), said.at, 1);
+            node.follower.pause (heartbeat.at);
+            node.role.reached (at (now), heartbeat.at, 1);
         }
     }
 
     std::vector<std::unique_ptr<Node>> nodes;
     std::int64_t now = 0;
     SourcePosition position{ 1, 19 };
-    std::uint64_t forgotten = 0;
+    std::uint64_t discardedBefore = 0;
 };
 
-TEST (ZoneOfReaders, StartsTogetherWithOneOldListingEachAndFewOtherCalls)
+TEST (ZoneOfReaders, StartsWithOneStaleListingPerNodeAndFewOtherCalls)
 {
     Zone zone (50);
     zone.runUntil (3000);
@@ -247,7 +249,7 @@
 }
 
 // Guards against readers that list a restored source in a loop until it reaches their revision.
-TEST (ZoneOfReaders, ARestoredSourceIsListedOnceAZone)
+TEST (ZoneOfReaders, ARestoredSourceIsListedOncePerZone)
 {
     Zone zone (160);
     zone.runUntil (5000);
@@ -263,7 +265,7 @@
     EXPECT_LE (zone.calls, 9);
 }
 
-TEST (ZoneOfReaders, ASourceThatIsRestoredInAnOutageIsListedByFew)
+TEST (ZoneOfReaders, ASourceThatIsRestoredInAnOutageIsListedByFewNodes)
 {
     Zone zone (160);
     zone.runUntil (5000);
@@ -281,7 +283,7 @@
     EXPECT_LE (zone.calls, 40);
 }
 
-TEST (ZoneOfReaders, ASmallZoneTriesAsOftenAsBefore)
+TEST (ZoneOfReaders, ASmallZoneKeepsTheRetryRate)
 {
     Zone zone (3);
     zone.runUntil (5000);
