--- a/src/mesh/mesh_state.cc
+++ b/src/mesh/mesh_state.cc
@@ -10,7 +10,7 @@
     UpdateOutcome outcome;
 
     // Only the configuration can still be newer, since its version orders it across epochs.
-    if (update.at.epoch < at.epoch)
+    if (update.at.epoch < reachedPosition.epoch)
     {
         outcome.listingIgnored = update.complete;
 
@@ -21,13 +21,13 @@
     }
 
     // A listing older than the position reached lacks later changes.
-    if (update.complete && update.at < at)
+    if (update.complete && update.at < reachedPosition)
     {
         outcome.listingIgnored = true;
         return outcome;
     }
 
-    outcome.restored = at.isKnown() && update.at.epoch > at.epoch;
+    outcome.restored = reachedPosition.isKnown() && update.at.epoch > reachedPosition.epoch;
     outcome.instancesChanged = update.complete || ! update.instances.empty();
 
     // A restored source may lack the entries of running instances.
@@ -38,7 +38,7 @@
     if (update.configuration)
         outcome.configuration = takeConfiguration (std::move (*update.configuration));
 
-    at = std::max (at, update.at);
+    reachedPosition = std::max (reachedPosition, update.at);
     return outcome;
 }
 
@@ -125,8 +125,8 @@
                 return outcome.version == outcome.before ? ConfigurationVerdict::same
                                                          : ConfigurationVerdict::older;
 
-            BOOST_LEAF_AUTO (whole, rebuild (base, std::move (change)));
-            return holder.take (std::move (whole));
+            BOOST_LEAF_AUTO (rebuilt, rebuild (base, std::move (change)));
+            return holder.take (std::move (rebuilt));
         });
 
     if (taken)
@@ -145,7 +145,7 @@
 {
     MeshUpdate update;
     std::vector<ListedInstance> changes;
-    update.at = at;
+    update.at = reachedPosition;
     update.complete = ! instances.changesSince (position, changes);
 
     for (const auto& entry : changes)
@@ -167,9 +167,10 @@
         return update;
 
     if (const auto base = holder.earlier (version); base != nullptr)
-        update.configuration = difference (*base, routes->configuration(), at);
+        update.configuration = difference (*base, routes->configuration(), reachedPosition);
     else
-        update.configuration = ConfigurationChange{ at, 0, routes->configuration(), {} };
+        update.configuration =
+            ConfigurationChange{ reachedPosition, 0, routes->configuration(), {} };
 
     return update;
 }
--- a/src/mesh/mesh_state.h
+++ b/src/mesh/mesh_state.h
@@ -50,7 +50,7 @@
     const ConfigurationHolder& configurations() const { return holder; }
     InstanceDirectory& directory() { return instances; }
     std::set<std::string> evacuatedZones() const { return evacuations.zones(); }
-    SourcePosition reached() const { return at; }
+    SourcePosition reached() const { return reachedPosition; }
 
 private:
     ConfigurationOutcome takeConfiguration (ConfigurationChange change);
@@ -60,7 +60,7 @@
     ConfigurationHolder holder;
     InstanceDirectory instances;
     ZoneEvacuations evacuations;
-    SourcePosition at;
+    SourcePosition reachedPosition;
 };
 
 } // namespace copperlead::mesh
--- a/src/mesh/mesh_update.cc
+++ b/src/mesh/mesh_update.cc
@@ -180,10 +180,10 @@
                      "is based on a version that isn't running: " +
                          std::to_string (change.baseVersion));
 
-    auto whole = std::move (change.content);
-    keepUnchanged (base->routes, change.removedRoutes, whole.routes);
-    keepUnchanged (base->tenants, change.removedTenants, whole.tenants);
-    return whole;
+    auto rebuilt = std::move (change.content);
+    keepUnchanged (base->routes, change.removedRoutes, rebuilt.routes);
+    keepUnchanged (base->tenants, change.removedTenants, rebuilt.tenants);
+    return rebuilt;
 }
 
 std::string encode (const MeshUpdate& update)
--- a/src/mesh/reader_beat_codec.cc
+++ b/src/mesh/reader_beat_codec.cc
@@ -12,13 +12,16 @@
 } // namespace
 
 template <typename Archive>
-void serialize (Archive& archive, ReaderBeat& beat)
+void serialize (Archive& archive, ReaderBeat& heartbeat)
 {
-    archive (beat.node, beat.zone, beat.rank.strength, beat.rank.hash, beat.at, beat.version,
-             beat.sound, beat.reads);
+    archive (heartbeat.node, heartbeat.zone, heartbeat.rank.strength, heartbeat.rank.hash,
+             heartbeat.at, heartbeat.version, heartbeat.sound, heartbeat.reads);
 }
 
-std::string encode (const ReaderBeat& beat) { return encodeDatagram (heartbeatTag, beat); }
+std::string encode (const ReaderBeat& heartbeat)
+{
+    return encodeDatagram (heartbeatTag, heartbeat);
+}
 
 std::optional<ReaderBeat> decodeReaderBeat (std::string_view bytes)
 {
--- a/src/mesh/reader_beat_codec.h
+++ b/src/mesh/reader_beat_codec.h
@@ -10,7 +10,7 @@
 namespace copperlead::mesh
 {
 
-std::string encode (const ReaderBeat& beat);
+std::string encode (const ReaderBeat& heartbeat);
 
 /** @returns std::nullopt for malformed input */
 std::optional<ReaderBeat> decodeReaderBeat (std::string_view bytes);
--- a/src/mesh/reader_role.cc
+++ b/src/mesh/reader_role.cc
@@ -18,9 +18,9 @@
     drawReadDelay (settings.unlistedStartDelay + weakness, settings.unlistedStartSpread);
 }
 
-void ReaderRole::drawReadDelay (Milliseconds least, std::optional<Milliseconds> spread)
+void ReaderRole::drawReadDelay (Milliseconds minimum, std::optional<Milliseconds> spread)
 {
-    minReadDelay = least;
+    minReadDelay = minimum;
     readDelaySpread = spread;
     spreadFraction = std::uniform_real_distribution<double> (0, 1) (random);
 }
@@ -44,10 +44,10 @@
     return settings.weakerMachineDelay * std::max (0, topStrength - rank.strength);
 }
 
-void ReaderRole::restartReadDelay (Timestamp now, Milliseconds least, Milliseconds spread)
+void ReaderRole::restartReadDelay (Timestamp now, Milliseconds minimum, Milliseconds spread)
 {
     readDelaySince = now;
-    drawReadDelay (least + weaknessDelay(), spread);
+    drawReadDelay (minimum + weaknessDelay(), spread);
 }
 
 void ReaderRole::listed (Timestamp now)
@@ -87,46 +87,46 @@
     return std::min (settings.zoneRetryInterval * failing, settings.maxRetryInterval);
 }
 
-void ReaderRole::heard (Timestamp now, const ReaderBeat& beat)
+void ReaderRole::heard (Timestamp now, const ReaderBeat& heartbeat)
 {
-    if (beat.node == name)
+    if (heartbeat.node == name)
         return;
 
-    if (! beat.sound)
+    if (! heartbeat.sound)
     {
-        failingReaders[beat.node] = now;
+        failingReaders[heartbeat.node] = now;
 
         // The reader reports that it can't reach the source, so its timeout need not be awaited.
-        if (readers.erase (beat.node) > 0 && readers.empty() && ! isReading)
+        if (readers.erase (heartbeat.node) > 0 && readers.empty() && ! isReading)
             readDelaySince = std::min (readDelaySince, now - settings.readerTimeout);
 
         return;
     }
 
-    failingReaders.erase (beat.node);
-    readers[beat.node] = { beat, now };
-    heardAt = std::max (heardAt, beat.at);
-    heardVersion = std::max (heardVersion, beat.version);
+    failingReaders.erase (heartbeat.node);
+    readers[heartbeat.node] = { heartbeat, now };
+    readerPosition = std::max (readerPosition, heartbeat.at);
+    readerVersion = std::max (readerVersion, heartbeat.version);
     updateLastUpToDate (now);
 }
 
-void ReaderRole::reached (Timestamp now, SourcePosition at, std::uint64_t version)
+void ReaderRole::reached (Timestamp now, SourcePosition position, std::uint64_t version)
 {
-    ownAt = std::max (ownAt, at);
+    ownPosition = std::max (ownPosition, position);
     ownVersion = std::max (ownVersion, version);
 
-    if (ownVersion >= seenVersion)
-        seenLaterSince = Timestamp::max();
+    if (ownVersion >= observedVersion)
+        laterVersionSince = Timestamp::max();
 
     updateLastUpToDate (now);
 }
 
 void ReaderRole::sawVersion (Timestamp now, std::uint64_t version)
 {
-    seenVersion = std::max (seenVersion, version);
+    observedVersion = std::max (observedVersion, version);
 
-    if (seenVersion > ownVersion && seenLaterSince == Timestamp::max())
-        seenLaterSince = now;
+    if (observedVersion > ownVersion && laterVersionSince == Timestamp::max())
+        laterVersionSince = now;
 }
 
 void ReaderRole::updateLastUpToDate (Timestamp now)
@@ -134,9 +134,10 @@
     const bool fresh = std::any_of (readers.begin(), readers.end(),
                                     [&] (const auto& item)
                                     {
-                                        const auto& [beat, when] = item.second;
-                                        return now - when <= settings.beatInterval * 2 &&
-                                               beat.at <= ownAt && beat.version <= ownVersion;
+                                        const auto& [heartbeat, receivedAt] = item.second;
+                                        return now - receivedAt <= settings.beatInterval * 2 &&
+                                               heartbeat.at <= ownPosition &&
+                                               heartbeat.version <= ownVersion;
                                     });
 
     if (! fresh)
@@ -154,20 +155,20 @@
     return std::any_of (readers.begin(), readers.end(),
                         [&] (const auto& item)
                         {
-                            const auto& [beat, when] = item.second;
-                            return now - when <= settings.readerTimeout &&
-                                   (! ownHealthy || beat.rank.betterThan (rank)) &&
-                                   beat.at <= ownAt && beat.version <= ownVersion;
+                            const auto& [heartbeat, receivedAt] = item.second;
+                            return now - receivedAt <= settings.readerTimeout &&
+                                   (! ownHealthy || heartbeat.rank.betterThan (rank)) &&
+                                   heartbeat.at <= ownPosition && heartbeat.version <= ownVersion;
                         });
 }
 
 bool ReaderRole::shouldReplaceWeaker (Timestamp now)
 {
     const bool onlyWeaker =
-        ! readers.empty() && std::all_of (readers.begin(), readers.end(),
-                                          [&] (const auto& item) {
-                                              return item.second.beat.rank.strength < rank.strength;
-                                          });
+        ! readers.empty() &&
+        std::all_of (readers.begin(), readers.end(),
+                     [&] (const auto& item)
+                     { return item.second.heartbeat.rank.strength < rank.strength; });
 
     if (! onlyWeaker)
         weakerSince = Timestamp::max();
@@ -191,14 +192,14 @@
     std::erase_if (failingReaders, [&] (const auto& item)
                    { return now - item.second > settings.failureRetention; });
     std::erase_if (readers, [&] (const auto& item)
-                   { return now - item.second.when > settings.readerTimeout; });
+                   { return now - item.second.receivedAt > settings.readerTimeout; });
 
-    const bool seenLater =
-        seenLaterSince != Timestamp::max() && now - seenLaterSince > settings.laterVersionGrace;
+    const bool laterVersionObserved = laterVersionSince != Timestamp::max() &&
+                                      now - laterVersionSince > settings.laterVersionGrace;
 
     if (isReading)
     {
-        isReading = seenLater || ! canStopReading (now, ownHealthy);
+        isReading = laterVersionObserved || ! canStopReading (now, ownHealthy);
 
         if (! isReading)
         {
@@ -212,7 +213,7 @@
 
     const bool takeOver = shouldReplaceWeaker (now) || isAlone (now);
     const bool delayElapsed = now - readDelaySince > readDelay() && ! requestPeerListing (now);
-    isReading = seenLater || takeOver || delayElapsed;
+    isReading = laterVersionObserved || takeOver || delayElapsed;
     return isReading;
 }
 
--- a/src/mesh/reader_role.h
+++ b/src/mesh/reader_role.h
@@ -111,10 +111,10 @@
     ReaderRole (std::string ownName, ReaderRank ownRank, const ReaderRoleSettings& settingsToUse,
                 std::uint64_t seed);
 
-    void heard (Timestamp now, const ReaderBeat& beat);
+    void heard (Timestamp now, const ReaderBeat& heartbeat);
 
     /** Records the position and the version that this node has reached. */
-    void reached (Timestamp now, SourcePosition at, std::uint64_t version);
+    void reached (Timestamp now, SourcePosition position, std::uint64_t version);
 
     /** Records the configuration version that another node's answer showed. */
     void sawVersion (Timestamp now, std::uint64_t version);
@@ -123,7 +123,7 @@
      */
     Duration seenLaterFor (Timestamp now) const
     {
-        return seenLaterSince == Timestamp::max() ? Duration (0) : now - seenLaterSince;
+        return laterVersionSince == Timestamp::max() ? Duration (0) : now - laterVersionSince;
     }
 
     /** Sets the number of other known nodes in this zone. */
@@ -156,7 +156,7 @@
     bool reading() const { return isReading; }
 
     /** True if the position or the version of a healthy reader is later than this node's. */
-    bool behind() const { return heardAt > ownAt || heardVersion > ownVersion; }
+    bool behind() const { return readerPosition > ownPosition || readerVersion > ownVersion; }
 
     /** Time at which this node was last up to date with a healthy reader. */
     Timestamp satisfiedAt() const { return lastUpToDateAt; }
@@ -164,19 +164,19 @@
 private:
     struct ReceivedHeartbeat
     {
-        ReaderBeat beat;
-        Timestamp when;
+        ReaderBeat heartbeat;
+        Timestamp receivedAt;
     };
 
     /** Draws the random part of the delay before this node reads.
         @param spread  range of the random part; empty: depends on the number of peers in the zone
     */
-    void drawReadDelay (Milliseconds least, std::optional<Milliseconds> spread);
+    void drawReadDelay (Milliseconds minimum, std::optional<Milliseconds> spread);
 
     /** Draws this node's delay among the nodes of the zone that may replace a reader. */
     void drawTakeoverDelay();
     Duration readDelay() const;
-    void restartReadDelay (Timestamp now, Milliseconds least, Milliseconds spread);
+    void restartReadDelay (Timestamp now, Milliseconds minimum, Milliseconds spread);
     bool requestPeerListing (Timestamp now);
     Milliseconds takeoverSpread() const;
     Milliseconds weaknessDelay() const;
@@ -192,10 +192,10 @@
     std::map<std::string, ReceivedHeartbeat> readers;
     std::map<std::string, Timestamp> failingReaders; /**< Time of each one's last failure report. */
     std::size_t zonePeers = 0;
-    SourcePosition ownAt, heardAt;
-    std::uint64_t ownVersion = 0, heardVersion = 0;
-    std::uint64_t seenVersion = 0;
-    Timestamp seenLaterSince = Timestamp::max();
+    SourcePosition ownPosition, readerPosition;
+    std::uint64_t ownVersion = 0, readerVersion = 0;
+    std::uint64_t observedVersion = 0;
+    Timestamp laterVersionSince = Timestamp::max();
     Timestamp lastUpToDateAt{}, weakerSince = Timestamp::max();
     Timestamp readDelaySince{}; /**< Start of the current read delay. */
     Milliseconds minReadDelay{};
--- a/src/mesh/source_follower.cc
+++ b/src/mesh/source_follower.cc
@@ -44,9 +44,10 @@
         // An immediate answer detects the recovery of a failing source soonest.
         immediateWatch = std::exchange (firstWatch, false) || failures > 0;
         const auto wait = immediateWatch ? Milliseconds (0) : settings.watchWait;
-        watchStart = at;
-        return SourceRequest{ current, {},   at.revision, wait, wait + settings.answerTimeout,
-                              false,   cause };
+        watchStart = reachedPosition;
+        return SourceRequest{
+            current, {}, reachedPosition.revision, wait, wait + settings.answerTimeout, false, cause
+        };
     }
 
     return SourceRequest{
@@ -83,8 +84,8 @@
 
 void SourceFollower::advanceTo (SourcePosition position)
 {
-    at = std::max (at, position);
-    epoch = std::max (epoch, at.epoch);
+    reachedPosition = std::max (reachedPosition, position);
+    epoch = std::max (epoch, reachedPosition.epoch);
 }
 
 bool SourceFollower::pause (SourcePosition position)
@@ -111,7 +112,7 @@
     }
 
     // A watch can't start from a position of an earlier epoch.
-    if (listed && at.epoch < epoch)
+    if (listed && reachedPosition.epoch < epoch)
         restartListing (now);
 
     return dropped;
@@ -119,7 +120,7 @@
 
 bool SourceFollower::overtaken (Timestamp now, SourcePosition position)
 {
-    if (position <= at || ! listed || paused)
+    if (position <= reachedPosition || ! listed || paused)
         return false;
 
     advanceTo (position);
@@ -202,7 +203,7 @@
 {
     epoch = newEpoch;
 
-    if (at.isKnown())
+    if (reachedPosition.isKnown())
         absenceDistrustedUntil = now + settings.absenceDistrustTime;
 }
 
@@ -211,7 +212,7 @@
     if (current == SourceCall::watch)
         return answer.at.epoch == watchStart.epoch;
 
-    return pages.empty() || answer.at.epoch == listingAt.epoch;
+    return pages.empty() || answer.at.epoch == listingPosition.epoch;
 }
 
 void SourceFollower::handleRestore (Timestamp now)
@@ -221,7 +222,7 @@
     due = now;
 
     // Not needed if another node has already passed on the changes since the restore.
-    if (! listed || at.epoch < epoch)
+    if (! listed || reachedPosition.epoch < epoch)
     {
         std::uniform_int_distribution<std::int64_t> spread (0, settings.maxRestoreDelay.count());
         restartListing (now + Milliseconds (spread (random)));
@@ -285,7 +286,7 @@
     if (answer.entries.empty() && ! std::exchange (immediateWatch, false))
         return std::nullopt;
 
-    return SourceUpdate{ false, std::move (answer.entries), at };
+    return SourceUpdate{ false, std::move (answer.entries), reachedPosition };
 }
 
 namespace
@@ -311,8 +312,8 @@
 
 std::optional<SourceUpdate> SourceFollower::takePage (SourceAnswer answer)
 {
-    const auto pageAt = completeUpTo (answer, stale);
-    listingAt = pages.empty() ? pageAt : std::min (listingAt, pageAt);
+    const auto pagePosition = completeUpTo (answer, stale);
+    listingPosition = pages.empty() ? pagePosition : std::min (listingPosition, pagePosition);
 
     const bool last = ! answer.hasMore || answer.entries.empty();
     pages.insert (pages.end(), std::make_move_iterator (answer.entries.begin()),
@@ -321,8 +322,8 @@
     if (! last)
         return std::nullopt;
 
-    advanceTo (listingAt);
-    listed = ! stale || listingAt.isKnown();
+    advanceTo (listingPosition);
+    listed = ! stale || listingPosition.isKnown();
     stale = ! listed && paused;
     historyLost = refreshing = false;
 
@@ -330,7 +331,7 @@
     if (stale)
         due = sentAt + settings.emptyListInterval;
 
-    return SourceUpdate{ true, std::exchange (pages, {}), listingAt };
+    return SourceUpdate{ true, std::exchange (pages, {}), listingPosition };
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/source_follower.h
+++ b/src/mesh/source_follower.h
@@ -201,7 +201,7 @@
     bool hasListed() const { return listed; }
     bool failing() const { return failures > 0; }
     Timestamp lastSuccess() const { return successAt; }
-    SourcePosition position() const { return at; }
+    SourcePosition position() const { return reachedPosition; }
 
     /** Latest epoch that an answer or another node has reported. */
     std::uint64_t latestEpoch() const { return epoch; }
@@ -234,10 +234,11 @@
     bool listed = false;
     SourceCall current = SourceCall::list;
     Timestamp due{}, sentAt{};
-    SourcePosition at;
+    SourcePosition reachedPosition;
     SourcePosition watchStart; /**< Start of the pending watch. */
-    SourcePosition
-        listingAt; /**< Position up to which the pages are complete; they are no snapshot. */
+
+    /** Position up to which the pages are complete; they are no snapshot. */
+    SourcePosition listingPosition;
     std::uint64_t epoch = 0;
     bool stale = false; /**< True if the current listing may be stale. */
     bool historyLost = false;
--- a/tests/mesh/fleet_start_test.cc
+++ b/tests/mesh/fleet_start_test.cc
@@ -175,7 +175,7 @@
 
         decide (node);
         subscribe (node);
-        beat (node);
+        sendHeartbeat (node);
 
         if (const auto request = node.follower.poll (at (now)))
             call (node, *request);
@@ -262,7 +262,7 @@
         }
     }
 
-    void beat (Node& node)
+    void sendHeartbeat (Node& node)
     {
         if (! node.role.reading() || now - node.heartbeatAt < heartbeatMs)
             return;
@@ -277,10 +277,10 @@
             receivers.push_back (name);
 
         for (const auto& name : receivers)
-            hear (*nodes[std::stoull (name.substr (1))], heartbeat);
+            receive (*nodes[std::stoull (name.substr (1))], heartbeat);
     }
 
-    void hear (Node& node, const ReaderBeat& heartbeat)
+    void receive (Node& node, const ReaderBeat& heartbeat)
     {
         node.role.heard (at (now), heartbeat);
 
--- a/tests/mesh/mesh_state_test.cc
+++ b/tests/mesh/mesh_state_test.cc
@@ -9,7 +9,7 @@
 namespace
 {
 
-MeshUpdate whole (std::uint64_t version, std::uint64_t number)
+MeshUpdate completeUpdate (std::uint64_t version, std::uint64_t number)
 {
     MeshUpdate update;
     update.complete = true;
@@ -21,7 +21,7 @@
     return update;
 }
 
-MeshUpdate gone (const std::string& id, std::uint64_t number, bool trusted)
+MeshUpdate removal (const std::string& id, std::uint64_t number, bool trusted)
 {
     MeshUpdate update;
     update.at = revision (number);
@@ -51,7 +51,7 @@
 TEST (MeshState, ANewNodeReceivesTheCompleteState)
 {
     MeshState reader, node;
-    reader.take (at (0), whole (4, 9));
+    reader.take (at (0), completeUpdate (4, 9));
     const auto outcome = sendUpdate (reader, node);
     EXPECT_EQ (outcome.configuration->verdict, ConfigurationVerdict::taken);
     EXPECT_EQ (node.reached(), revision (9));
@@ -61,9 +61,9 @@
 TEST (MeshState, IgnoresAListingOlderThanThePositionReached)
 {
     MeshState node;
-    node.take (at (0), whole (4, 9));
-    node.take (at (1), gone ("a", 10, true));
-    auto late = whole (3, 8);
+    node.take (at (0), completeUpdate (4, 9));
+    node.take (at (1), removal ("a", 10, true));
+    auto late = completeUpdate (3, 8);
     late.instances.push_back ({ makeInstance ("c", "z1", 3), revision (7), false, true });
     const auto outcome = node.take (at (2), late);
     EXPECT_FALSE (outcome.instancesChanged);
@@ -75,7 +75,7 @@
 TEST (MeshState, AnUpToDateNodeReceivesNoChanges)
 {
     MeshState reader, node;
-    reader.take (at (0), whole (4, 9));
+    reader.take (at (0), completeUpdate (4, 9));
     sendUpdate (reader, node);
     const auto again = reader.changesSince (revision (9), 4);
     EXPECT_FALSE (again.complete);
@@ -86,13 +86,13 @@
 TEST (MeshState, AChangeOfAnotherBaseIsRefusedAndTheCompleteConfigurationApplied)
 {
     MeshState reader, node;
-    reader.take (at (0), whole (4, 9));
+    reader.take (at (0), completeUpdate (4, 9));
     sendUpdate (reader, node);
-    reader.take (at (1), whole (6, 12));
+    reader.take (at (1), completeUpdate (6, 12));
     const auto change = reader.changesSince (revision (9), 4);
     EXPECT_EQ (change.configuration->baseVersion, 4U);
 
-    node.take (at (1), whole (5, 11)); // The node reads version 5 from the source itself.
+    node.take (at (1), completeUpdate (5, 11)); // The node reads version 5 from the source itself.
     const auto refused = node.take (at (2), change);
     EXPECT_FALSE (refused.configuration->verdict);
     EXPECT_EQ (refused.configuration->error.kind, ErrorKind::kUnknownBase);
@@ -105,10 +105,10 @@
 TEST (MeshState, OlderAndInvalidConfigurationsAreRefused)
 {
     MeshState state;
-    state.take (at (0), whole (6, 9));
-    const auto older = state.take (at (1), whole (5, 10));
+    state.take (at (0), completeUpdate (6, 9));
+    const auto older = state.take (at (1), completeUpdate (5, 10));
     EXPECT_EQ (older.configuration->verdict, ConfigurationVerdict::older);
-    auto damaged = whole (7, 11);
+    auto damaged = completeUpdate (7, 11);
     damaged.configuration->content.routes[0].services = { { "nobody", 1 } };
     const auto refused = state.take (at (2), damaged);
     EXPECT_FALSE (refused.configuration->verdict);
@@ -119,10 +119,10 @@
 TEST (MeshState, DistinguishesDepartedAndLapsedInstances)
 {
     MeshState reader, node;
-    reader.take (at (0), whole (4, 9));
+    reader.take (at (0), completeUpdate (4, 9));
     sendUpdate (reader, node);
-    reader.take (at (1), gone ("a", 10, true));
-    reader.take (at (1), gone ("b", 11, false));
+    reader.take (at (1), removal ("a", 10, true));
+    reader.take (at (1), removal ("b", 11, false));
     sendUpdate (reader, node);
     EXPECT_EQ (usable (node), 1U);
     EXPECT_EQ (node.directory().snapshot()->byService.at ("desk")[0].state, InstanceState::lapsed);
@@ -131,9 +131,9 @@
 TEST (MeshState, AnUpdateOfANewNodeRemovesInstancesThatLeftBeforeItsStart)
 {
     MeshState node, started;
-    node.take (at (0), whole (4, 9));
+    node.take (at (0), completeUpdate (4, 9));
     // Instance "b" left at revision 10, so a node that lists the source later does not know it.
-    auto listing = whole (5, 12);
+    auto listing = completeUpdate (5, 12);
     listing.instances.pop_back();
     started.take (at (1), listing);
     sendUpdate (started, node);
@@ -144,10 +144,10 @@
 TEST (MeshState, LapsedInstancesStayUsableAfterACompleteUpdate)
 {
     MeshState reader, node;
-    reader.take (at (0), whole (4, 9));
+    reader.take (at (0), completeUpdate (4, 9));
     sendUpdate (reader, node);
-    reader.take (at (1), gone ("b", 10, false));
-    reader.take (at (1), gone ("a", 11, true));
+    reader.take (at (1), removal ("b", 10, false));
+    reader.take (at (1), removal ("a", 11, true));
     auto update = reader.changesSince (revision (0), 4);
     update.complete = true;
     node.take (at (2), update);
@@ -165,7 +165,7 @@
 TEST (MeshState, InstancesOfAnEvacuatedZoneAreUnusableUntilTheEvacuationEnds)
 {
     MeshState reader, node;
-    reader.take (at (0), whole (4, 9));
+    reader.take (at (0), completeUpdate (4, 9));
     sendUpdate (reader, node);
     reader.take (at (1), evacuation ("z1", 10, false));
     const auto outcome = sendUpdate (reader, node);
@@ -183,7 +183,7 @@
 TEST (MeshState, ANodeThatStartsDuringAnEvacuationReceivesIt)
 {
     MeshState reader, node;
-    reader.take (at (0), whole (4, 9));
+    reader.take (at (0), completeUpdate (4, 9));
     reader.take (at (1), evacuation ("z1", 10, false));
     reader.take (at (1), evacuation ("z2", 11, false));
     sendUpdate (reader, node);
@@ -194,10 +194,10 @@
 TEST (MeshState, AListingWithoutTheOrderEndsTheEvacuation)
 {
     MeshState node;
-    node.take (at (0), whole (4, 9));
+    node.take (at (0), completeUpdate (4, 9));
     node.take (at (1), evacuation ("z1", 10, false));
     EXPECT_EQ (usable (node), 0U);
-    const auto outcome = node.take (at (2), whole (4, 12));
+    const auto outcome = node.take (at (2), completeUpdate (4, 12));
     ASSERT_EQ (outcome.evacuations.size(), 1U);
     EXPECT_TRUE (outcome.evacuations[0].over);
     EXPECT_EQ (usable (node), 2U);
--- a/tests/mesh/mesh_update_test.cc
+++ b/tests/mesh/mesh_update_test.cc
@@ -29,11 +29,11 @@
     EXPECT_EQ (change.content.routes.size(), 2U);
     EXPECT_EQ (change.removedRoutes, std::vector<std::string>{ "deep" });
 
-    const auto whole = Resolve ([&] { return rebuild (&base, change); });
-    ASSERT_TRUE (whole);
-    EXPECT_EQ (sorted (whole.value().routes), sorted (next.routes));
-    EXPECT_EQ (whole.value().limits.idleTimeout, Milliseconds (77));
-    EXPECT_EQ (whole.value().version, 9U);
+    const auto rebuilt = Resolve ([&] { return rebuild (&base, change); });
+    ASSERT_TRUE (rebuilt);
+    EXPECT_EQ (sorted (rebuilt.value().routes), sorted (next.routes));
+    EXPECT_EQ (rebuilt.value().limits.idleTimeout, Milliseconds (77));
+    EXPECT_EQ (rebuilt.value().version, 9U);
 }
 
 TEST (MeshUpdate, ADifferenceAgainstAnotherVersionIsRefused)
@@ -43,9 +43,9 @@
 
     for (const auto* base : { static_cast<const MeshConfiguration*> (nullptr), &other })
     {
-        const auto whole = Resolve ([&] { return rebuild (base, change); });
-        ASSERT_FALSE (whole);
-        EXPECT_EQ (whole.error().kind, ErrorKind::kUnknownBase);
+        const auto rebuilt = Resolve ([&] { return rebuild (base, change); });
+        ASSERT_FALSE (rebuilt);
+        EXPECT_EQ (rebuilt.error().kind, ErrorKind::kUnknownBase);
     }
 }
 
--- a/tests/mesh/reader_role_test.cc
+++ b/tests/mesh/reader_role_test.cc
@@ -13,7 +13,7 @@
 constexpr ReaderRank own{ 1, 50 }, better{ 1, 10 }, worse{ 1, 90 }, stronger{ 2, 90 },
     weaker{ 0, 1 };
 
-ReaderBeat beat (ReaderRank rank, std::uint64_t number = 5, bool sound = true)
+ReaderBeat heartbeat (ReaderRank rank, std::uint64_t number = 5, bool sound = true)
 {
     return { "other", "ank-a", rank, revision (number), 3, sound };
 }
@@ -38,13 +38,13 @@
     }
 
     /** Receives the heartbeat every 250 ms. @returns true if the node reads at the end */
-    bool hear (const ReaderBeat& heard, std::int64_t from, std::int64_t until)
+    bool receive (const ReaderBeat& heartbeat, std::int64_t from, std::int64_t until)
     {
         bool reading = role.reading();
 
         for (auto now = from; now <= until; now += 250)
         {
-            role.heard (at (now), heard);
+            role.heard (at (now), heartbeat);
             reading = role.decide (at (now));
         }
 
@@ -101,12 +101,12 @@
 {
     role.decide (at (0));
     role.listed (at (0));
-    role.heard (at (250), beat ({ topStrength, 10 }));
+    role.heard (at (250), heartbeat ({ topStrength, 10 }));
     role.reached (at (260), revision (5), 3); // The node fetches the reader's state.
 
     for (int now = 500; now <= 5000; now += 250)
     {
-        role.heard (at (now), beat ({ topStrength, 10 }));
+        role.heard (at (now), heartbeat ({ topStrength, 10 }));
         EXPECT_FALSE (role.decide (at (now))) << now;
     }
 }
@@ -132,22 +132,22 @@
 
 TEST_F (Role, StopsOnlyForABetterReader)
 {
-    EXPECT_TRUE (hear (beat (worse), 0, 1000));
-    EXPECT_TRUE (hear (beat (weaker), 1000, 2000));
-    EXPECT_FALSE (hear (beat (better), 2000, 2250));
+    EXPECT_TRUE (receive (heartbeat (worse), 0, 1000));
+    EXPECT_TRUE (receive (heartbeat (weaker), 1000, 2000));
+    EXPECT_FALSE (receive (heartbeat (better), 2000, 2250));
 }
 
 TEST_F (Role, ContinuesWhileBehindABetterReader)
 {
-    EXPECT_TRUE (hear (beat (better, 9), 0, 500));
+    EXPECT_TRUE (receive (heartbeat (better, 9), 0, 500));
     EXPECT_TRUE (role.behind());
     role.reached (at (500), revision (9), 3);
-    EXPECT_FALSE (hear (beat (better, 9), 500, 750));
+    EXPECT_FALSE (receive (heartbeat (better, 9), 500, 750));
 }
 
 TEST_F (Role, ReadsAgainAfterTheReaderTimesOut)
 {
-    ASSERT_FALSE (hear (beat (better), 0, 1000));
+    ASSERT_FALSE (receive (heartbeat (better), 0, 1000));
     const auto from = readsFrom (1000);
     EXPECT_GE (from, 1700);
     EXPECT_LE (from, 2050);
@@ -155,38 +155,38 @@
 
 TEST_F (Role, ReadsAgainAtOnceWhenTheReaderReportsAFailure)
 {
-    ASSERT_FALSE (hear (beat (better), 0, 1000));
-    role.heard (at (1000), beat (better, 5, false));
+    ASSERT_FALSE (receive (heartbeat (better), 0, 1000));
+    role.heard (at (1000), heartbeat (better, 5, false));
     EXPECT_LE (readsFrom (1000), 1350);
 }
 
 TEST_F (Role, ReadsWhenItCannotCatchUpWithTheReader)
 {
-    ASSERT_FALSE (hear (beat (better), 0, 1000));
-    EXPECT_TRUE (hear (beat (better, 9), 1250, 2500));
+    ASSERT_FALSE (receive (heartbeat (better), 0, 1000));
+    EXPECT_TRUE (receive (heartbeat (better, 9), 1250, 2500));
 }
 
 TEST_F (Role, ReadsWhenAnotherNodeShowsALaterVersionForTooLong)
 {
-    ASSERT_FALSE (hear (beat (better), 0, 1000));
+    ASSERT_FALSE (receive (heartbeat (better), 0, 1000));
     role.sawVersion (at (1000), 4);
-    EXPECT_FALSE (hear (beat (better), 1000, 1250));
-    EXPECT_TRUE (hear (beat (better), 1500, 1500));
+    EXPECT_FALSE (receive (heartbeat (better), 1000, 1250));
+    EXPECT_TRUE (receive (heartbeat (better), 1500, 1500));
     role.reached (at (1600), revision (6), 4);
-    EXPECT_FALSE (hear (beat (better, 6), 1600, 1850));
+    EXPECT_FALSE (receive (heartbeat (better, 6), 1600, 1850));
 }
 
 TEST_F (Role, ReplacesAWeakerReaderAfterATimeout)
 {
     ReaderRole strong{ "self", stronger, {}, 7 };
     strong.reached (at (0), revision (5), 3);
-    strong.heard (at (0), beat ({ 3, 1 }));
+    strong.heard (at (0), heartbeat ({ 3, 1 }));
     ASSERT_FALSE (strong.decide (at (0)));
     bool reading = false;
 
     for (int now = 250; now <= 3500; now += 250)
     {
-        strong.heard (at (now), beat (weaker));
+        strong.heard (at (now), heartbeat (weaker));
         reading = strong.decide (at (now));
         EXPECT_TRUE (now > 2000 || ! reading) << now;
     }
@@ -259,20 +259,20 @@
 TEST_F (Role, WithoutAnyHeartbeatTheZoneSizeDoesNotDelayReading)
 {
     role.setZonePeers (500);
-    EXPECT_FALSE (hear (beat (better), 0, 500));
+    EXPECT_FALSE (receive (heartbeat (better), 0, 500));
     EXPECT_LE (readsFrom (750), 500 + 2000 + 50);
 }
 
 TEST_F (Role, FailingReadersSpreadTheTakeoverInALargeZone)
 {
     role.setZonePeers (2); // The peer count is 2 at the first heartbeat.
-    EXPECT_FALSE (hear (beat (better), 0, 500));
+    EXPECT_FALSE (receive (heartbeat (better), 0, 500));
     role.setZonePeers (500);
     bool reading = false;
 
     for (std::int64_t now = 750; now < 4000; now += 250)
     {
-        role.heard (at (now), beat (better, 5, false));
+        role.heard (at (now), heartbeat (better, 5, false));
         reading = reading || role.decide (at (now));
     }
 
@@ -281,9 +281,9 @@
 
 TEST_F (Role, IgnoresItsOwnHeartbeat)
 {
-    auto echoed = beat (better);
+    auto echoed = heartbeat (better);
     echoed.node = "self";
-    EXPECT_TRUE (hear (echoed, 0, 1000));
+    EXPECT_TRUE (receive (echoed, 0, 1000));
 }
 
 TEST_F (Role, KnowsForHowLongAnotherNodeHasRunALaterVersion)
@@ -300,7 +300,7 @@
 
 TEST (ReaderBeatCodec, RoundTripsAndRejectsStrayDatagrams)
 {
-    const auto bytes = encode (beat (better, 77));
+    const auto bytes = encode (heartbeat (better, 77));
     const auto read = decodeReaderBeat (bytes);
     ASSERT_TRUE (read);
     EXPECT_EQ (read->at, revision (77));
--- a/tests/mesh/restored_source_state_test.cc
+++ b/tests/mesh/restored_source_state_test.cc
@@ -37,7 +37,7 @@
         return change;
     }
 
-    InstanceChange gone()
+    InstanceChange removal()
     {
         auto change = entries["a"];
         change.gone = true;
@@ -161,7 +161,7 @@
 
 TEST_F (RestoredSourceState, ARemovedInstanceIsUsedAgainAfterTheRetentionTime)
 {
-    loseInRestore (gone());
+    loseInRestore (removal());
     node.advance (at (29'000));
     EXPECT_EQ (usable (node), Ids{ "b" });
     node.advance (at (31'000));
@@ -170,7 +170,7 @@
 
 TEST_F (RestoredSourceState, ForwardsARemovalThatTheSourceLost)
 {
-    loseInRestore (gone());
+    loseInRestore (removal());
     MeshState started, cutOff;
     cutOff.take (at (0), listing ({ 1, 18 }, 6));
     sendUpdate (node, started, 3);
--- a/tests/mesh/zone_outage_test.cc
+++ b/tests/mesh/zone_outage_test.cc
@@ -115,7 +115,7 @@
     {
         answer (node);
         decide (node);
-        beat (node);
+        sendHeartbeat (node);
 
         if (const auto request = node.follower.poll (at (now)))
         {
@@ -170,7 +170,7 @@
             node.answerAt = -1;
     }
 
-    void beat (Node& node)
+    void sendHeartbeat (Node& node)
     {
         const bool sound = node.follower.reached (at (now));
         const auto interval =
@@ -190,10 +190,10 @@
 
         for (auto& other : nodes)
             if (other.get() != &node)
-                hear (*other, heartbeat);
+                receive (*other, heartbeat);
     }
 
-    void hear (Node& node, const ReaderBeat& heartbeat)
+    void receive (Node& node, const ReaderBeat& heartbeat)
     {
         node.role.heard (at (now), heartbeat);
 
