--- a/src/mesh/source_follower.cc
+++ b/src/mesh/source_follower.cc
@@ -221,7 +221,7 @@
     successAt = now;
     due = now;
 
-    // Not needed if another node has already passed on the changes since the restore.
+    // A listing is not needed if another node has already forwarded the changes since the restore.
     if (! listed || reachedPosition.epoch < epoch)
     {
         std::uniform_int_distribution<std::int64_t> spread (0, settings.maxRestoreDelay.count());
