--- a/src/mesh/mesh_state.cc
+++ b/src/mesh/mesh_state.cc
@@ -10,7 +10,7 @@
     UpdateOutcome outcome;
 
     // Only the configuration can still be newer, since its version orders it across epochs.
-    if (update.at.epoch < at.epoch)
+    if (update.at.epoch < reachedPosition.epoch)
     {
         outcome.listingIgnored = update.complete;
 
@@ -20,14 +20,14 @@
         return outcome;
     }
 
-    // An old listing lacks what came after it.
-    if (update.complete && update.at < at)
+    // A listing older than the position reached lacks later changes.
+    if (update.complete && update.at < reachedPosition)
     {
         outcome.listingIgnored = true;
         return outcome;
     }
 
-    outcome.restored = at.isKnown() && update.at.epoch > at.epoch;
+    outcome.restored = reachedPosition.isKnown() && update.at.epoch > reachedPosition.epoch;
     outcome.instancesChanged = update.complete || ! update.instances.empty();
 
     // A restored source may lack the entries of running instances.
@@ -38,7 +38,7 @@
     if (update.configuration)
         outcome.configuration = takeConfiguration (std::move (*update.configuration));
 
-    at = std::max (at, update.at);
+    reachedPosition = std::max (reachedPosition, update.at);
     return outcome;
 }
 
@@ -50,7 +50,7 @@
     {
         const auto id = change.instance.id;
 
-        // What only lapsed is listed nowhere, and isn't to be taken for gone below.
+        // A lapsed instance has no entry, but must not be removed below as if it had left.
         if (! change.gone || ! change.trusted)
             listed.push_back (id);
 
@@ -125,8 +125,8 @@
                 return outcome.version == outcome.before ? ConfigurationVerdict::same
                                                          : ConfigurationVerdict::older;
 
-            BOOST_LEAF_AUTO (whole, rebuild (base, std::move (change)));
-            return holder.take (std::move (whole));
+            BOOST_LEAF_AUTO (rebuilt, rebuild (base, std::move (change)));
+            return holder.take (std::move (rebuilt));
         });
 
     if (taken)
@@ -136,7 +136,7 @@
 
     if (outcome.verdict == ConfigurationVerdict::older)
         outcome.error = { ErrorKind::kRevisionBehind, "version",
-                          std::to_string (outcome.version) + " is older than the running one" };
+                          std::to_string (outcome.version) + " is older than the running version" };
 
     return outcome;
 }
@@ -145,12 +145,12 @@
 {
     MeshUpdate update;
     std::vector<ListedInstance> changes;
-    update.at = at;
+    update.at = reachedPosition;
     update.complete = ! instances.changesSince (position, changes);
 
     for (const auto& entry : changes)
     {
-        // A draining instance is listed as such; one that left or lapsed has no entry any more.
+        // A draining instance still has an entry; one that left or lapsed has none.
         const bool retained = entry.retainedAt.has_value();
         const bool gone =
             entry.state != InstanceState::ready && ! entry.instance.draining && ! retained;
@@ -167,9 +167,10 @@
         return update;
 
     if (const auto base = holder.earlier (version); base != nullptr)
-        update.configuration = difference (*base, routes->configuration(), at);
+        update.configuration = difference (*base, routes->configuration(), reachedPosition);
     else
-        update.configuration = ConfigurationChange{ at, 0, routes->configuration(), {} };
+        update.configuration =
+            ConfigurationChange{ reachedPosition, 0, routes->configuration(), {} };
 
     return update;
 }
--- a/tests/mesh/mesh_update_test.cc
+++ b/tests/mesh/mesh_update_test.cc
@@ -18,7 +18,7 @@
     return routes;
 }
 
-TEST (MeshUpdate, ADifferenceHoldsOnlyWhatChangedAndRebuildsTheWhole)
+TEST (MeshUpdate, ADifferenceContainsOnlyChangesAndRebuildsTheConfiguration)
 {
     const auto base = makeConfiguration (4);
     auto next = makeConfiguration (9);
@@ -29,11 +29,11 @@
     EXPECT_EQ (change.content.routes.size(), 2U);
     EXPECT_EQ (change.removedRoutes, std::vector<std::string>{ "deep" });
 
-    const auto whole = Resolve ([&] { return rebuild (&base, change); });
-    ASSERT_TRUE (whole);
-    EXPECT_EQ (sorted (whole.value().routes), sorted (next.routes));
-    EXPECT_EQ (whole.value().limits.idleTimeout, Milliseconds (77));
-    EXPECT_EQ (whole.value().version, 9U);
+    const auto rebuilt = Resolve ([&] { return rebuild (&base, change); });
+    ASSERT_TRUE (rebuilt);
+    EXPECT_EQ (sorted (rebuilt.value().routes), sorted (next.routes));
+    EXPECT_EQ (rebuilt.value().limits.idleTimeout, Milliseconds (77));
+    EXPECT_EQ (rebuilt.value().version, 9U);
 }
 
 TEST (MeshUpdate, ADifferenceAgainstAnotherVersionIsRefused)
@@ -43,9 +43,9 @@
 
     for (const auto* base : { static_cast<const MeshConfiguration*> (nullptr), &other })
     {
-        const auto whole = Resolve ([&] { return rebuild (base, change); });
-        ASSERT_FALSE (whole);
-        EXPECT_EQ (whole.error().kind, ErrorKind::kUnknownBase);
+        const auto rebuilt = Resolve ([&] { return rebuild (base, change); });
+        ASSERT_FALSE (rebuilt);
+        EXPECT_EQ (rebuilt.error().kind, ErrorKind::kUnknownBase);
     }
 }
 
@@ -67,7 +67,7 @@
     return update;
 }
 
-TEST (MeshUpdate, ComesBackAsItWasAndIsSmall)
+TEST (MeshUpdate, RoundTripsInACompactEncoding)
 {
     const auto update = largeUpdate();
     const auto bytes = encode (update);
@@ -84,7 +84,7 @@
     EXPECT_EQ (read.value().configuration->content.routes, update.configuration->content.routes);
 }
 
-TEST (MeshUpdate, DamagedBytesAreRefused)
+TEST (MeshUpdate, MalformedInputIsRefused)
 {
     auto bytes = encode (largeUpdate());
     const auto refused = [] (const std::string& damaged)
@@ -95,7 +95,7 @@
     EXPECT_TRUE (refused (encode (MeshUpdate{}).substr (0, 4)));
 }
 
-TEST (InstanceDirectory, TellsWhatChangedSinceARevisionUntilItForgets)
+TEST (InstanceDirectory, ReturnsChangesSinceARevisionUntilRemovalsExpire)
 {
     InstanceDirectory directory;
     directory.put (at (0), makeInstance ("a", "z1", 1), revision (5));
@@ -108,13 +108,14 @@
 
     directory.advance (at (40'000));
     changes.clear();
-    EXPECT_FALSE (directory.changesSince (revision (6), changes)); // It can't know that b is gone.
+    // The directory no longer knows that "b" was removed.
+    EXPECT_FALSE (directory.changesSince (revision (6), changes));
     changes.clear();
     EXPECT_TRUE (directory.changesSince (revision (8), changes));
     EXPECT_TRUE (changes.empty());
 }
 
-TEST (MeshUpdate, ColdTimesAndEvacuationsTravel)
+TEST (MeshUpdate, RoundTripsColdStartTimesAndEvacuations)
 {
     MeshUpdate update;
     auto instance = makeInstance ("a", "z1", 1);
