--- a/src/mesh/instance_chooser.cc
+++ b/src/mesh/instance_chooser.cc
@@ -15,8 +15,9 @@
 
 constexpr double learningRate = 0.1;
 constexpr double slowestSpeed = 8, fastestSpeed = 0.25;
-constexpr double unheardRunShare = 0.3; // Of the target latency, before a route's first answer.
-// Of a sample, when some that were drawn are to be left alone.
+// Before a route's first answer, its run time is estimated as this share of its target latency.
+constexpr double initialRunShare = 0.3;
+// A sample draws up to this many further instances in place of those that can't be used.
 constexpr std::size_t extraDraws = 5;
 constexpr double lapsedPenaltyMs = 10'000, suspectedPenaltyMs = 5'000;
 
@@ -38,7 +39,7 @@
     const auto found = routes.find (route.name);
 
     if (found == routes.end() || found->second.runMs <= 0)
-        return unheardRunShare * static_cast<double> (route.targetLatency.count());
+        return initialRunShare * static_cast<double> (route.targetLatency.count());
 
     return found->second.runMs;
 }
@@ -47,14 +48,14 @@
 {
     const double own = view.inFlight;
 
-    if (! view.heard)
+    if (! view.hasReport)
         return own;
 
-    const auto faded = view.report.load * fading (now, view);
-    return std::max (own, faded + view.inFlight - view.inFlightAtReport);
+    const auto decayed = view.report.load * reportWeight (now, view);
+    return std::max (own, decayed + view.inFlight - view.inFlightAtReport);
 }
 
-double InstanceChooser::fading (Timestamp now, const View& view) const
+double InstanceChooser::reportWeight (Timestamp now, const View& view) const
 {
     return std::exp2 (-toMilliseconds (now - view.reportedAt) / settings.loadHalfLifeMs);
 }
@@ -70,7 +71,7 @@
     auto expected = run + ahead * meanRun;
 
     if (request.requestBytes >= largeBodyBytes)
-        expected += view.report.bodyMs * fading (now, view);
+        expected += view.report.bodyMs * reportWeight (now, view);
 
     return expected + crossingMs (instance, request);
 }
@@ -102,7 +103,7 @@
 {
     const auto found = views.find (id);
     return found == views.end() ||
-           (found->second.shunnedUntil <= now && found->second.suspectedUntil <= now);
+           (found->second.avoidedUntil <= now && found->second.suspectedUntil <= now);
 }
 
 std::vector<Instance> InstanceChooser::sample (Timestamp now, const DirectorySnapshot& directory,
@@ -157,7 +158,7 @@
         const auto& id = candidate.instance.id;
         const auto& view = views[id];
 
-        if (view.shunnedUntil > now || request.excludes (id) ||
+        if (view.avoidedUntil > now || request.excludes (id) ||
             ! isAllowed (candidate.instance, request))
             continue;
 
@@ -183,7 +184,7 @@
     choice.instance = best->instance;
     choice.expectedMs = bestCost;
     choice.load = loadOf (now, view);
-    choice.ageMs = view.heard ? toMilliseconds (now - view.reportedAt) : -1;
+    choice.ageMs = view.hasReport ? toMilliseconds (now - view.reportedAt) : -1;
     return true;
 }
 
@@ -207,7 +208,7 @@
 
     const auto ratio = runMs / std::max (history.runMs, 1.0);
     view.speed += learningRate * (std::clamp (ratio, fastestSpeed, slowestSpeed) - view.speed);
-    // What a usual instance would have taken, so that slow instances don't change the route's time.
+    // The route's time is learned at half the rate, so that slow instances change it less.
     history.runMs += learningRate / 2 * (runMs - history.runMs);
     history.answerBytes += learningRate * (static_cast<double> (bytes) - history.answerBytes);
 }
@@ -217,14 +218,14 @@
     auto& view = views[id];
     view.report = report;
     view.reportedAt = now;
-    view.heard = true;
+    view.hasReport = true;
     view.suspectedUntil = {};
     view.inFlightAtReport = view.inFlight;
 }
 
 void InstanceChooser::shun (Timestamp now, const std::string& id, Milliseconds howLong)
 {
-    auto& until = views[id].shunnedUntil;
+    auto& until = views[id].avoidedUntil;
     until = std::max (until, now + howLong);
 }
 
@@ -234,20 +235,20 @@
     until = std::max (until, now + howLong);
 }
 
-void InstanceChooser::forgetFormer (const Instance& instance)
+void InstanceChooser::resetIfRestarted (const Instance& instance)
 {
     if (instance.born == 0)
         return;
 
-    auto& known = born[instance.id];
-    const bool isAnother = known != 0 && instance.born > known;
+    auto& known = startTimes[instance.id];
+    const bool hasRestarted = known != 0 && instance.born > known;
     known = std::max (known, instance.born);
     const auto found = views.find (instance.id);
 
-    if (! isAnother || found == views.end())
+    if (! hasRestarted || found == views.end())
         return;
 
-    // Attempts that are under way still end, and are counted off then.
+    // Attempts in flight are kept, since ended() is still called for each of them.
     const int inFlight = found->second.inFlight;
     found->second = {};
     found->second.inFlight = inFlight;
@@ -261,12 +262,12 @@
         for (const auto& candidate : instances)
         {
             listed.insert (candidate.instance.id);
-            forgetFormer (candidate.instance);
+            resetIfRestarted (candidate.instance);
         }
 
     std::erase_if (views, [&] (const auto& item)
                    { return item.second.inFlight == 0 && ! listed.contains (item.first); });
-    std::erase_if (born, [&] (const auto& item)
+    std::erase_if (startTimes, [&] (const auto& item)
                    { return ! listed.contains (item.first) && ! views.contains (item.first); });
 }
 
--- a/src/mesh/instance_chooser.h
+++ b/src/mesh/instance_chooser.h
@@ -1,11 +1,13 @@
-/** Chooses the instance of a request by the time in which it is expected to finish there.
+/** Chooses the instance for a request by the time in which it is expected to finish there.
 
     expected = run x speed x (1 + max (0, load + 1 - slots) / slots) + crossing,
 
-    where `run` is the route's usual time, `speed` the instance's pace relative to that, `load` what
-    its node last told, fading, and never under what this node has there, and `crossing` what it
-    costs to send the bytes to another zone. The price of a byte isn't known here: it is taken in
-    proportion to the route's target latency, so that patient routes cross zones less.
+    where `run` is the route's usual run time, `speed` is the instance's run time relative to that,
+    and `crossing` is the cost of sending the bytes to another zone, expressed as time. `load` is
+    the load that the instance's node last reported; it decays with the age of the report and is
+    never less than the number of requests that this node has in flight there. The price of a byte
+    isn't known here, so the crossing cost is proportional to the route's target latency, and
+    routes with a long target cross zones less often.
 */
 #pragma once
 
@@ -22,30 +24,34 @@
 
 struct ChooserSettings
 {
-    Locality locality;           /**< Of this node. */
-    double crossingShare = 0.05; /**< Of the target latency, for each crossing of zones. */
+    Locality locality;           /**< The zone and region of this node. */
+    double crossingShare = 0.05; /**< Cost of a zone crossing, as a share of the target latency. */
     double crossingSharePerKilobyte = 0.04;
-    double regionFactor = 6;     /**< Crossings of regions in those of zones. */
-    double loadHalfLifeMs = 500; /**< In which what was told of a load halves. */
-    double noise = 0.1;          /**< Spreads nodes that know the same. */
+    double regionFactor = 6;     /**< Cost of a region crossing in zone crossings. */
+    double loadHalfLifeMs = 500; /**< Time in which the weight of a reported load halves. */
+
+    /** Relative random variation of the cost. It keeps nodes that have the same information from
+        all choosing the same instance.
+    */
+    double noise = 0.1;
 };
 
-/** What a node tells of the instance beside it, with each answer. */
+/** The load of a node's local instance, which the node reports with each answer. */
 struct LoadReport
 {
-    double load = 0;   /**< Requests that run and wait there. */
-    double runMs = 0;  /**< Usual time of a run there, over all routes; 0: unknown. */
-    double bodyMs = 0; /**< Until a large body would have arrived over its node's link. */
+    double load = 0;   /**< Number of requests that are running or queued there. */
+    double runMs = 0;  /**< Usual run time there, over all routes; 0 if unknown. */
+    double bodyMs = 0; /**< Expected time to transfer a large body over its node's link. */
 };
 
-/** What is asked for. */
+/** The request for which an instance is chosen. */
 struct ChoiceRequest
 {
     const Route* route = nullptr;
     std::string service;
     std::size_t requestBytes = 0;
-    std::vector<std::string> excluded; /**< Ids of instances that were tried. */
-    const Tenant* tenant = nullptr;    /**< Whose request it is; null: nobody's. */
+    std::vector<std::string> excluded; /**< Ids of the instances already tried. */
+    const Tenant* tenant = nullptr;    /**< The tenant that sent the request, or null. */
 
     bool excludes (const std::string& id) const;
 };
@@ -54,8 +60,8 @@
 {
     Instance instance;
     double expectedMs = 0;
-    double load = 0;  /**< That it was chosen by. */
-    double ageMs = 0; /**< Of the report behind it; negative: never heard. */
+    double load = 0;  /**< The load estimate used for the choice. */
+    double ageMs = 0; /**< Age of the load report; negative if there is none. */
 };
 
 /** Not thread-safe. */
@@ -64,21 +70,21 @@
 public:
     InstanceChooser (ChooserSettings settingsToUse, std::uint64_t seed);
 
-    /** Draws instances at random that may get the request, for a poll. Those that are shunned,
+    /** Draws random instances that may get the request, for a poll. Instances that are avoided,
         suspected or lapsed aren't drawn.
     */
     std::vector<Instance> sample (Timestamp now, const DirectorySnapshot& directory,
                                   const ChoiceRequest& request, std::size_t count,
                                   Proximity proximity);
 
-    /** Whether the request may be served there: by the regions of its route and its tenant. */
+    /** @returns true if the allowed regions of the route and the tenant include the instance */
     bool isAllowed (const Instance& instance, const ChoiceRequest& request) const;
     const Locality& locality() const { return settings.locality; }
 
-    /** @returns true while the instance may be preferred: neither shunned nor suspected */
+    /** @returns true while the instance is neither avoided nor suspected */
     bool mayPrefer (Timestamp now, const std::string& id) const;
 
-    /** What it costs to reach the instance from this zone, as time. */
+    /** The cost of reaching the instance from this node's zone, expressed as time. */
     double crossingMs (const Instance& instance, const ChoiceRequest& request) const;
 
     /** @returns false when no instance may get the request now */
@@ -88,23 +94,24 @@
     void started (const std::string& id);
     void ended (const std::string& id);
 
-    /** Learns from an answer: how long the run took there and how large the answer was. */
+    /** Updates the run time and answer size estimates after an answer. */
     void answered (const std::string& id, const Route& route, double runMs, std::size_t bytes);
     void reported (Timestamp now, const std::string& id, const LoadReport& report);
 
-    /** Keeps requests away from an instance for a while. */
+    /** Excludes an instance from the choice for the given time. */
     void shun (Timestamp now, const std::string& id, Milliseconds howLong);
 
-    /** An attempt there takes much longer than expected: others go first for a while, or until it
-        answers. Softer than shun(), since under load every instance may be slow.
+    /** Ranks an instance behind the others for the given time, or until it reports its load again.
+        This is for an attempt that takes much longer than expected. Unlike shun(), it doesn't
+        exclude the instance, since under load every instance may be slow.
     */
     void suspect (Timestamp now, const std::string& id, Milliseconds howLong);
 
-    /** The usual time of a run of the route, in milliseconds. */
+    /** The usual run time of the route, in milliseconds. */
     double usualRunMs (const Route& route) const;
 
-    /** Drops what is known of instances that are no longer listed, and of former incarnations of
-        those that are.
+    /** Drops the records of instances that are no longer listed and have nothing in flight, and
+        resets those of listed instances that have restarted.
     */
     void forgetAllBut (const DirectorySnapshot& directory);
 
@@ -113,14 +120,14 @@
     {
         LoadReport report;
         Timestamp reportedAt{};
-        bool heard = false;
+        bool hasReport = false;
         int inFlight = 0;
         int inFlightAtReport = 0;
-        double speed = 1; /**< Over 1: slower than usual. */
-        Timestamp shunnedUntil{}, suspectedUntil{};
+        double speed = 1; /**< Run time relative to the usual one; above 1 is slower. */
+        Timestamp avoidedUntil{}, suspectedUntil{};
     };
 
-    void forgetFormer (const Instance& instance);
+    void resetIfRestarted (const Instance& instance);
 
     struct RouteHistory
     {
@@ -130,15 +137,18 @@
 
     double loadOf (Timestamp now, const View& view) const;
 
-    /** The share of what was told that is still counted on. */
-    double fading (Timestamp now, const View& view) const;
+    /** The weight of the last report, which decays with its age. */
+    double reportWeight (Timestamp now, const View& view) const;
     double expectedMs (Timestamp now, const ListedInstance& candidate, const View& view,
                        const ChoiceRequest& request) const;
 
     ChooserSettings settings;
     std::minstd_rand random;
     std::unordered_map<std::string, View> views;
-    std::unordered_map<std::string, std::uint64_t> born; /**< Of those that tell, by id; Unix ms. */
+
+    /** Start times in Unix ms by instance id, for the instances that state theirs. */
+    std::unordered_map<std::string, std::uint64_t> startTimes;
+
     std::unordered_map<std::string, RouteHistory> routes;
 };
 
--- a/src/mesh/weighted_split.h
+++ b/src/mesh/weighted_split.h
@@ -1,5 +1,6 @@
-/** Smooth weighted round robin: over any run of requests each part's share stays within one request
-    of its weight's, which a random or hashed choice only reaches over long times.
+/** Smooth weighted round robin. Over any sequence of requests each service's share stays within one
+    request of what its weight calls for; a random or hashed choice only achieves that in the long
+    run.
 */
 #pragma once
 
@@ -16,13 +17,13 @@
 class WeightedSplit
 {
 public:
-    /** @returns the index of the part that the next request of `route` goes to */
+    /** @returns the index of the route's service that the next request of `route` goes to */
     std::size_t next (const Route& route);
 
 private:
     struct Credits
     {
-        std::vector<WeightedService> parts; /**< That the credits belong to. */
+        std::vector<WeightedService> parts; /**< The services that the credits belong to. */
         std::vector<std::int64_t> values;
     };
 
--- a/tests/mesh/choice_test.cc
+++ b/tests/mesh/choice_test.cc
@@ -1,4 +1,4 @@
-/** The weighted split, the retry budget and the choice of an instance. */
+/** Tests of the weighted split, the retry budget and the choice of an instance. */
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -14,7 +14,7 @@
 namespace
 {
 
-TEST (WeightedSplit, SharesAreExactWithinOneRequestAtEveryMoment)
+TEST (WeightedSplit, SharesStayWithinOneRequestOfTheirWeights)
 {
     WeightedSplit split;
     auto route = makeRoute ("lookup", "/look/");
@@ -25,12 +25,13 @@
     {
         ++counts[split.next (route)];
 
-        for (std::size_t part = 0; part < counts.size(); ++part)
-            EXPECT_LE (std::abs (counts[part] - sent * route.services[part].weight / 100.0), 1.0);
+        for (std::size_t service = 0; service < counts.size(); ++service)
+            EXPECT_LE (std::abs (counts[service] - sent * route.services[service].weight / 100.0),
+                       1.0);
     }
 }
 
-TEST (WeightedSplit, NewWeightsStartAfresh)
+TEST (WeightedSplit, NewWeightsResetTheCredits)
 {
     WeightedSplit split;
     auto route = makeRoute ("lookup", "/look/");
@@ -45,7 +46,7 @@
         EXPECT_EQ (split.next (route), 1U);
 }
 
-TEST (RetryBudget, AllNodesTogetherStayUnderTheFleetsBudgetInEveryWindow)
+TEST (RetryBudget, AllNodesTogetherStayWithinTheFleetsBudgetInEveryWindow)
 {
     constexpr int nodes = 12, seconds = 30, perSecond = 20;
     const RetryBudgetSettings settings;
@@ -60,7 +61,7 @@
             {
                 const auto now = at (1000 * second + request);
                 budget.countRequest (now);
-                // Every request fails at first and wants another attempt.
+                // Every request fails at its first attempt and asks for a retry.
                 spent[static_cast<std::size_t> (second)] +=
                     budget.take (now, nodes, { true, 0 }) ? 1 : 0;
             }
@@ -79,7 +80,7 @@
     }
 }
 
-/** Ten choices for the route, counted by instance. */
+/** Chooses an instance for the route ten times and counts the choices by instance. */
 std::map<std::string, int> choices (InstanceChooser& chooser, const DirectorySnapshot& directory,
                                     const Route& route, std::size_t bytes = 0)
 {
@@ -116,24 +117,24 @@
     InstanceChooser chooser{ { Locality ("z1", {}) }, 1 };
 };
 
-TEST_F (Choosing, StaysInItsZoneWhileThatIsAsFast)
+TEST_F (Choosing, StaysInTheZoneIfThatIsAsFast)
 {
     EXPECT_EQ (choices (chooser, *directory.snapshot(), route)["near"], 10);
 }
 
-TEST_F (Choosing, CrossesWhenTheWaitCostsMoreThanTheBytes)
+TEST_F (Choosing, CrossesZonesIfQueueingCostsMoreThanTheCrossing)
 {
     chooser.reported (at (0), "near", { 6, 50 });
     EXPECT_EQ (choices (chooser, *directory.snapshot(), route)["far"], 10);
 }
 
-TEST_F (Choosing, LargeBodiesStayWhereSmallOnesCross)
+TEST_F (Choosing, LargeBodiesStayInTheZoneWhereSmallOnesCross)
 {
     chooser.reported (at (0), "near", { 6, 50 });
     EXPECT_EQ (choices (chooser, *directory.snapshot(), route, 60'000)["near"], 10);
 }
 
-TEST_F (Choosing, AReportedLoadFades)
+TEST_F (Choosing, AReportedLoadDecays)
 {
     chooser.reported (at (0), "near", { 6, 50 });
     Choice choice;
@@ -142,7 +143,7 @@
     EXPECT_EQ (choice.instance.id, "near");
 }
 
-TEST_F (Choosing, SlowInstancesAreLearned)
+TEST_F (Choosing, SlowInstancesAreDetected)
 {
     for (int answers = 0; answers < 30; ++answers)
     {
@@ -153,7 +154,7 @@
     EXPECT_EQ (choices (chooser, *directory.snapshot(), route)["far"], 10);
 }
 
-TEST_F (Choosing, ShunnedTriedAndLeavingInstancesAreNotChosen)
+TEST_F (Choosing, AvoidedTriedAndLeavingInstancesAreNotChosen)
 {
     chooser.shun (at (0), "near", Milliseconds (500));
     Choice choice;
@@ -166,7 +167,7 @@
         chooser.choose (at (502), *directory.snapshot(), { &route, "desk", 0, { "far" } }, choice));
 }
 
-TEST_F (Choosing, WhatWasLearnedOfAnIncarnationIsForgottenWithIt)
+TEST_F (Choosing, ARestartClearsTheRecordOfAnInstance)
 {
     directory.put (at (0), bornAt (makeInstance ("near", "z1", 1), 1000), revision (5));
     chooser.forgetAllBut (*directory.snapshot());
@@ -178,7 +179,7 @@
     EXPECT_TRUE (chooser.mayPrefer (at (1), "near"));
 }
 
-TEST_F (Choosing, AnIncarnationsEndedRunsAreStillCountedOff)
+TEST_F (Choosing, RunsThatEndAfterARestartAreStillCounted)
 {
     directory.put (at (0), bornAt (makeInstance ("near", "z1", 1), 1000), revision (5));
     chooser.forgetAllBut (*directory.snapshot());
@@ -189,7 +190,7 @@
     EXPECT_EQ (choices (chooser, *directory.snapshot(), route)["near"], 10);
 }
 
-/** Thirty instances in each of six zones. */
+/** Lists thirty instances in each of six zones. */
 class Sampling : public ::testing::Test
 {
 protected:
@@ -242,7 +243,7 @@
         EXPECT_NEAR (count, 100, 45) << id;
 }
 
-TEST_F (Sampling, DrawsOfAllOtherZones)
+TEST_F (Sampling, DrawsFromAllOtherZones)
 {
     std::map<std::string, int> zones;
 
@@ -257,7 +258,7 @@
         EXPECT_NEAR (count, 600, 120) << zone;
 }
 
-TEST_F (Sampling, LeavesOutWhatIsExcludedShunnedSuspectedOrLapsed)
+TEST_F (Sampling, OmitsExcludedAvoidedSuspectedAndLapsedInstances)
 {
     for (int n = 2; n < 180 - 18; n += 6)
         chooser.suspect (at (0), "i" + std::to_string (n), Milliseconds (1000));
@@ -270,7 +271,7 @@
             ADD_FAILURE() << instance.id;
 }
 
-TEST_F (Sampling, AZoneWithoutInstancesGivesNone)
+TEST_F (Sampling, AZoneWithoutInstancesYieldsNone)
 {
     const Locality away{ "nowhere", {} };
     directory.setLocality (away);
@@ -281,7 +282,7 @@
     EXPECT_EQ (elsewhere.sample (at (0), *snapshot, wanted, 3, Proximity::sameRegion).size(), 3U);
 }
 
-TEST_F (Choosing, ASuspectedInstanceIsAvoidedButNotExcluded)
+TEST_F (Choosing, ASuspectedInstanceIsRankedLastButNotExcluded)
 {
     chooser.suspect (at (0), "near", Milliseconds (500));
     EXPECT_EQ (choices (chooser, *directory.snapshot(), route)["far"], 10);
@@ -294,7 +295,7 @@
     EXPECT_EQ (choice.instance.id, "near");
 }
 
-TEST_F (Choosing, AnAnswerClearsASuspicion)
+TEST_F (Choosing, ALoadReportClearsASuspicion)
 {
     chooser.suspect (at (0), "near", Milliseconds (500));
     chooser.reported (at (0), "near", { 0, 50 });
--- a/tests/mesh/fixtures.h
+++ b/tests/mesh/fixtures.h
@@ -1,4 +1,4 @@
-/** Small configurations and instances for the tests of this folder. */
+/** Small configurations and instances for the tests in this folder. */
 #pragma once
 
 #include <string>
@@ -14,7 +14,7 @@
     return Timestamp (Milliseconds (1'000'000 + milliseconds));
 }
 
-/** A position in epoch 0. */
+/** @returns a position in epoch 0 */
 inline SourcePosition revision (std::uint64_t number) { return { 0, number }; }
 
 inline Route makeRoute (const std::string& name, const std::string& prefix)
@@ -54,7 +54,7 @@
     return instance;
 }
 
-/** That instance as it tells of its start. */
+/** @returns the instance with the given start time */
 inline Instance bornAt (Instance instance, std::uint64_t unixMs)
 {
     instance.born = unixMs;
