--- a/src/mesh/instance_directory.cc
+++ b/src/mesh/instance_directory.cc
@@ -27,7 +27,7 @@
 void InstanceDirectory::keepAcrossRestore (Timestamp now, ListedInstance& entry,
                                            const Instance& listed, SourcePosition position)
 {
-    const bool isSameStart = listed.born == 0 || listed.born == entry.instance.born;
+    const bool isSameIncarnation = listed.born == 0 || listed.born == entry.instance.born;
     entry.position = position;
     current.reset();
 
@@ -37,9 +37,9 @@
         return;
     }
 
-    entry.state = isSameStart ? InstanceState::ready : InstanceState::lapsed;
+    entry.state = isSameIncarnation ? InstanceState::ready : InstanceState::lapsed;
 
-    if (! isSameStart)
+    if (! isSameIncarnation)
         entry.changedAt = now;
 }
 
@@ -51,7 +51,7 @@
     if (! isNew && entry.position > position)
         return true;
 
-    // Repeating the same entry must not revive an instance that has lapsed or left since.
+    // Receiving the same entry again must not restore an instance that has lapsed or left since.
     if (! isNew && entry.position == position && entry.state != InstanceState::ready)
         return true;
 
@@ -66,19 +66,20 @@
     if (! isNew && entry.instance.createdAt.revision == instance.createdAt.revision)
         instance.createdAt = std::min (instance.createdAt, entry.instance.createdAt);
 
-    // Nobody starts before the one that he follows: another writer's entry, or one that is spoilt.
-    const auto knownBorn = entry.instance.born;
-    const bool goesBack = instance.born != 0 && instance.born < knownBorn;
-    const bool usable = ! goesBack && ! instance.draining;
+    // An incarnation can't start before its predecessor, so an entry with an earlier start time
+    // comes from another writer or is corrupt.
+    const auto knownStart = entry.instance.born;
+    const bool startsEarlier = instance.born != 0 && instance.born < knownStart;
+    const bool usable = ! startsEarlier && ! instance.draining;
     entry.state = usable ? InstanceState::ready : InstanceState::leaving;
     entry.instance = std::move (instance);
-    entry.instance.born = std::max (entry.instance.born, knownBorn);
+    entry.instance.born = std::max (entry.instance.born, knownStart);
     entry.position = position;
     entry.writtenRevision = position.revision;
     entry.retainedAt.reset();
     entry.changedAt = now;
     current.reset();
-    return ! goesBack;
+    return ! startsEarlier;
 }
 
 void InstanceDirectory::retain (Timestamp now, Instance instance, SourcePosition position)
@@ -142,7 +143,7 @@
         auto& entry = it->second;
         const auto age = now - entry.changedAt;
 
-        if (entry.state == InstanceState::lapsed && age > lapseTime)
+        if (entry.state == InstanceState::lapsed && age > lapsedGracePeriod)
         {
             entry.state = InstanceState::leaving;
             entry.changedAt = now;
@@ -151,7 +152,8 @@
 
         // An instance that is still listed after this time is in service, unless it announced that
         // it is draining.
-        if (entry.retainedAt && ! entry.instance.draining && now - *entry.retainedAt > memoryTime)
+        if (entry.retainedAt && ! entry.instance.draining &&
+            now - *entry.retainedAt > departedRetention)
         {
             entry.state = InstanceState::ready;
             entry.retainedAt.reset();
@@ -160,7 +162,7 @@
         }
 
         const bool isForgotten =
-            entry.state == InstanceState::leaving && ! entry.retainedAt && age > memoryTime;
+            entry.state == InstanceState::leaving && ! entry.retainedAt && age > departedRetention;
 
         if (isForgotten)
         {
@@ -175,13 +177,13 @@
 bool InstanceDirectory::changesSince (SourcePosition position,
                                       std::vector<ListedInstance>& changes) const
 {
-    const bool whole = position < forgotten;
+    const bool listsAll = position < forgotten;
 
     for (const auto& [id, entry] : byId)
-        if (whole || entry.position > position)
+        if (listsAll || entry.position > position)
             changes.push_back (entry);
 
-    return ! whole;
+    return ! listsAll;
 }
 
 ProximityRange rangeOf (const std::vector<ListedInstance>& instances, Proximity proximity)
@@ -207,7 +209,7 @@
     if (current != nullptr)
         return current;
 
-    auto made = std::make_shared<DirectorySnapshot>();
+    auto result = std::make_shared<DirectorySnapshot>();
     std::set<std::string> used;
 
     for (const auto& [id, entry] : byId)
@@ -218,24 +220,24 @@
 
             if (! evacuatedZones.contains (entry.instance.zone))
             {
-                auto& listed = made->byService[entry.instance.service].emplace_back (entry);
+                auto& listed = result->byService[entry.instance.service].emplace_back (entry);
                 listed.proximity = locality.of (entry.instance.zone);
             }
         }
 
-        auto& newest = made->byAddress[ToString (entry.instance.address)];
+        auto& newest = result->byAddress[ToString (entry.instance.address)];
 
         if (newest.instance.id.empty() || newest.instance.createdAt < entry.instance.createdAt)
             newest = entry;
     }
 
-    for (auto& [service, listed] : made->byService)
+    for (auto& [service, listed] : result->byService)
         std::stable_sort (listed.begin(), listed.end(),
                           [] (const auto& a, const auto& b) { return a.proximity < b.proximity; });
 
-    made->nodes = used.size();
-    made->evacuatedZones = evacuatedZones;
-    current = std::move (made);
+    result->nodes = used.size();
+    result->evacuatedZones = evacuatedZones;
+    current = std::move (result);
     return current;
 }
 
--- a/src/mesh/instance_directory.h
+++ b/src/mesh/instance_directory.h
@@ -1,13 +1,14 @@
-/** What a node believes about the instances of each service, from the entries of the discovery
-    source. Deciding code: events and time in, no I/O.
+/** A node's view of the instances of each service, built from the entries of the discovery source.
+    This is decision logic without I/O: events and the time are passed in.
 
-    An entry that vanishes means that the instance leaves, but only while the source is sound: when
-    it is down, entries lapse although their instances live. Such an instance stays usable for a
-    while, behind those that are listed; the node beside it refuses what it can't run.
+    A removed entry means that the instance is leaving, but only while the source is healthy. When
+    the source is down, entries expire although their instances are still running. Such an instance
+    stays usable for a limited time, with lower preference than listed ones; its node rejects
+    requests that it can't run.
 
     A source that was restored from a backup lists older entries. Newer state that is known here
-    takes precedence until they are written again: an instance that is leaving isn't used, and one
-    that the source has lost counts as lapsed.
+    takes precedence until the entries are written again: an instance that is leaving isn't used,
+    and one that the source has lost counts as lapsed.
 */
 #pragma once
 
@@ -39,24 +40,26 @@
     int slots = 1;
     bool draining = false;
     SourcePosition createdAt; /**< The source's position when the entry was created. */
-    std::uint64_t born = 0;   /**< Unix ms of this incarnation's start; 0: it doesn't tell. */
-    Milliseconds coldFor{};   /**< As of the entry; unreadableColdTime when it can't be read. */
+    std::uint64_t born = 0;   /**< When this incarnation started, in Unix ms; 0 if unknown. */
+
+    /** Remaining cold time as of the entry; unreadableColdTime if it couldn't be read. */
+    Milliseconds coldFor{};
 };
 
 /** How an instance may be used. */
 enum class InstanceState : std::uint8_t
 {
     ready,
-    lapsed,  /**< Its entry vanished while the source was unsound. */
-    leaving, /**< It drains or its entry is gone: nothing new. */
+    lapsed,  /**< Its entry was removed while the source was unhealthy. */
+    leaving, /**< It is draining or its entry is gone; it gets no new requests. */
 };
 
 struct ListedInstance
 {
     Instance instance;
     InstanceState state = InstanceState::ready;
-    SourcePosition position;                     /**< Of the entry's last change. */
-    Timestamp changedAt{};                       /**< When this node learned of it. */
+    SourcePosition position;                     /**< Source position of the entry's last change. */
+    Timestamp changedAt{};                       /**< When this node learned of that change. */
     Proximity proximity = Proximity::sameRegion; /**< To this node; set in snapshots. */
     std::uint64_t writtenRevision = 0;           /**< The revision that wrote `instance`. */
 
@@ -64,17 +67,19 @@
     std::optional<Timestamp> retainedAt{};
 };
 
-/** Everything known at one moment; immutable. */
+/** An immutable copy of the directory's state at one moment. */
 struct DirectorySnapshot
 {
-    /** Ready and lapsed ones outside evacuated zones, the nearest first. */
+    /** Ready and lapsed instances outside evacuated zones by service, nearest first. */
     std::map<std::string, std::vector<ListedInstance>> byService;
-    std::set<std::string> evacuatedZones;            /**< Whose instances get nothing new. */
-    std::map<std::string, ListedInstance> byAddress; /**< The newest at each address, any state. */
-    std::size_t nodes = 0;                           /**< Distinct addresses in use. */
+    std::set<std::string> evacuatedZones; /**< Instances there get no new requests. */
+
+    /** The newest instance at each address, in any state. */
+    std::map<std::string, ListedInstance> byAddress;
+    std::size_t nodes = 0; /**< Number of distinct IP addresses with a ready or lapsed instance. */
 };
 
-/** Where the instances of one proximity stand in a list of DirectorySnapshot::byService. */
+/** The index range of the instances of one proximity in a list of DirectorySnapshot::byService. */
 struct ProximityRange
 {
     std::size_t begin = 0, end = 0;
@@ -90,47 +95,51 @@
 class InstanceDirectory
 {
 public:
-    /** How long an instance whose entry lapsed stays usable. One that lives and reaches the source
-        is listed again about 2 s after the source's return; one that isn't by then is gone.
+    /** How long an instance stays usable after its entry lapsed. An instance that is running and
+        reaches the source is listed again about 2 s after the source recovers; one that isn't
+        listed by then is gone.
     */
-    static constexpr Milliseconds lapseTime{ 2500 };
-    /** How long an instance that left is remembered, so that its address isn't mistaken. */
-    static constexpr Milliseconds memoryTime{ 30'000 };
+    static constexpr Milliseconds lapsedGracePeriod{ 2500 };
+    /** How long an instance that left is kept, so that its address isn't attributed to another. */
+    static constexpr Milliseconds departedRetention{ 30'000 };
 
-    /** Says how far zones are; without it all count as of this node's region. */
+    /** Sets how distances to zones are determined. Until then all zones count as being in this
+        node's region.
+    */
     void setLocality (Locality newLocality);
 
-    /** Takes an entry that was written at `position`, unless a newer one is known.
-        @returns false when it tells of an earlier start than the entry before: it names no
-                 instance to use
+    /** Stores an entry that was written at `position`, unless a newer one is known.
+        @returns false if the entry states an earlier start time than the previous one; it then
+                 makes no instance usable
     */
     bool put (Timestamp now, Instance instance, SourcePosition position);
 
-    /** Takes from another node that an instance is leaving, which a restored source has lost. */
+    /** Stores from another node that an instance is leaving, which a restored source has lost. */
     void retain (Timestamp now, Instance instance, SourcePosition position);
 
-    /** @param trusted  false while the source is unsound, so that absence says little */
+    /** @param trusted  false while the source is unhealthy, so that absence proves little */
     void remove (Timestamp now, const std::string& id, SourcePosition position, bool trusted);
 
-    /** Removes every instance that a complete listing doesn't hold. */
+    /** Removes every instance that isn't in a complete listing. */
     void removeAllBut (Timestamp now, const std::vector<std::string>& ids, SourcePosition position,
                        bool trusted);
 
-    /** Removals up to this position are unknown here, at least in part: whoever has reached
-        less gets everything from changesSince(), so that he sees what he lacks.
+    /** Notes that removals up to this position are at least partly unknown here. A reader at an
+        earlier position then gets all entries from changesSince(), so that it can detect removals.
     */
     void forgetRemovals (SourcePosition position) { forgotten = std::max (forgotten, position); }
 
-    /** Instances of these zones, and of no others, get nothing new. */
+    /** Replaces the set of zones whose instances get no new requests. */
     void setEvacuatedZones (std::set<std::string> zones);
 
-    /** Ends expired lapses and retentions, and forgets entries that are long gone. */
+    /** Ends expired grace periods and retentions, and drops entries whose retention has ended. */
     void advance (Timestamp now);
 
     DirectoryPointer snapshot();
 
-    /** The entries that changed after a position, including those that are gone.
-        @returns false when some of those were forgotten: then `changes` holds all that are known
+    /** Appends the entries that changed after a position, including removed ones.
+        @returns false if some removals may have been forgotten; `changes` then gets all known
+                 entries
     */
     bool changesSince (SourcePosition position, std::vector<ListedInstance>& changes) const;
 
--- a/src/mesh/local_instance.cc
+++ b/src/mesh/local_instance.cc
@@ -29,20 +29,21 @@
         return false;
 
     const auto& listed = entry->instance;
-    // What the instance says of itself is newer than any entry but one that was created since.
+    // An id that the instance reported itself is newer than any entry that wasn't created since.
     const bool older =
         source == IdentitySource::spoken && listed.id != currentId && listed.createdAt <= createdAt;
 
     if (older)
         return false;
 
-    const bool reborn = listed.id == currentId && born != 0 && listed.born > born;
-    const bool changed = listed.id != currentId || reborn;
+    const bool restarted =
+        listed.id == currentId && incarnationStart != 0 && listed.born > incarnationStart;
+    const bool changed = listed.id != currentId || restarted;
 
     if (changed)
         isLost = false;
 
-    born = changed ? listed.born : std::max (born, listed.born);
+    incarnationStart = changed ? listed.born : std::max (incarnationStart, listed.born);
 
     currentId = listed.id;
     currentService = listed.service;
@@ -53,13 +54,13 @@
     return changed;
 }
 
-bool LocalInstance::heard (const std::string& spokenId)
+bool LocalInstance::heard (const std::string& reportedId)
 {
-    if (spokenId.empty() || spokenId == currentId)
+    if (reportedId.empty() || reportedId == currentId)
         return false;
 
-    currentId = spokenId;
-    born = 0;
+    currentId = reportedId;
+    incarnationStart = 0;
     currentService = configured;
     source = IdentitySource::spoken;
     isLeaving = false;
@@ -68,9 +69,9 @@
 
 bool LocalInstance::failed (Timestamp now, bool refusedConnection)
 {
-    ++silentCalls;
+    ++unansweredCalls;
 
-    if (isLost || (! refusedConnection && silentCalls < silentCallsUntilLost))
+    if (isLost || (! refusedConnection && unansweredCalls < unansweredCallsUntilLost))
         return false;
 
     isLost = true;
@@ -80,7 +81,7 @@
 
 bool LocalInstance::answered (Timestamp)
 {
-    silentCalls = 0;
+    unansweredCalls = 0;
     return std::exchange (isLost, false);
 }
 
--- a/src/mesh/local_instance.h
+++ b/src/mesh/local_instance.h
@@ -1,8 +1,9 @@
-/** What a node knows of the instance beside it: which one it is, and whether it can be reached.
-    Deciding code without I/O.
+/** Tracks the identity and the reachability of a node's local instance. This is decision logic
+    without I/O.
 
-    The discovery source lists dead instances for a while, and an address may come to belong to
-    another instance. The instance's own word (`heard`) and the newest entry of its address decide.
+    The discovery source lists dead instances for a while, and an address may be reused by another
+    instance. The identity is therefore taken from what the instance reports itself and from the
+    newest entry of its address.
 */
 #pragma once
 
@@ -16,8 +17,8 @@
 
 enum class IdentitySource : std::uint8_t
 {
-    entry, /**< Of the discovery source. */
-    spoken /**< By the instance. */
+    entry, /**< An entry of the discovery source. */
+    spoken /**< The instance itself. */
 };
 
 inline constexpr std::string_view identitySourceNames[] = { "entry", "spoken" };
@@ -30,21 +31,29 @@
 
     void setConfiguredService (std::string service);
 
-    /** Takes the newest entry of the instance's address, nullptr if there is none.
-        @returns true when it is another incarnation: by its id, or by a later start under its id
+    /** Updates the identity from the newest entry of the instance's address, nullptr if there is
+        none.
+        @returns true if the entry is of another incarnation: it has another id, or a later start
+                 time under the same id
     */
     bool takeEntry (const ListedInstance* entry);
 
-    /** The instance named itself. @returns true when the id changed */
-    bool heard (const std::string& spokenId);
+    /** Updates the identity from the id that the instance reports itself.
+        @returns true if the id changed
+    */
+    bool heard (const std::string& reportedId);
 
-    /** A call ended without an answer. @returns true when the instance now counts as lost */
+    /** Records a call that ended without an answer.
+        @returns true if the instance now counts as lost
+    */
     bool failed (Timestamp now, bool refusedConnection);
 
-    /** A call was answered. @returns true when the instance counted as lost before */
+    /** Records an answered call.
+        @returns true if the instance counted as lost before
+    */
     bool answered (Timestamp now);
 
-    /** True when the instance should be asked who it is. */
+    /** @returns true if the instance should be asked for its identity */
     bool wantsProbe (Timestamp now) const;
     void probed (Timestamp now) { probedAt = now; }
 
@@ -59,15 +68,15 @@
 
 private:
     static constexpr Milliseconds probeInterval{ 250 };
-    static constexpr int silentCallsUntilLost = 4;
+    static constexpr int unansweredCallsUntilLost = 4;
 
     std::string configured, currentId, currentService, spoken;
     IdentitySource source = IdentitySource::entry;
     SourcePosition createdAt;
-    std::uint64_t born = 0; /**< Unix ms; 0: it isn't known. */
+    std::uint64_t incarnationStart = 0; /**< Unix ms; 0 if unknown. */
     int slotCount = 1;
     bool isLeaving = false, isLost = false;
-    int silentCalls = 0;
+    int unansweredCalls = 0;
     Timestamp lostAt{}, probedAt{};
 };
 
--- a/tests/mesh/instance_directory_test.cc
+++ b/tests/mesh/instance_directory_test.cc
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr bool sound = true, unsound = false;
+constexpr bool trusted = true, untrusted = false;
 
 std::vector<std::string> usable (InstanceDirectory& directory)
 {
@@ -26,7 +26,7 @@
 
 using Ids = std::vector<std::string>;
 
-TEST (InstanceDirectory, DrainingAndRemovedInstancesGetNothingNew)
+TEST (InstanceDirectory, DrainingAndRemovedInstancesAreNotUsable)
 {
     InstanceDirectory directory;
     directory.put (at (0), makeInstance ("a", "z1", 1), revision (5));
@@ -35,15 +35,15 @@
     draining.draining = true;
     directory.put (at (1), draining, revision (7));
     EXPECT_EQ (usable (directory), Ids{ "b" });
-    directory.remove (at (2), "b", revision (8), sound);
+    directory.remove (at (2), "b", revision (8), trusted);
     EXPECT_TRUE (usable (directory).empty());
 }
 
-TEST (InstanceDirectory, OlderNewsChangesNothing)
+TEST (InstanceDirectory, OlderUpdatesAreIgnored)
 {
     InstanceDirectory directory;
     directory.put (at (0), makeInstance ("a", "z1", 1), revision (9));
-    directory.remove (at (1), "a", revision (8), sound);
+    directory.remove (at (1), "a", revision (8), trusted);
     EXPECT_EQ (usable (directory), Ids{ "a" });
     auto draining = makeInstance ("a", "z1", 1);
     draining.draining = true;
@@ -51,11 +51,11 @@
     EXPECT_EQ (usable (directory), Ids{ "a" });
 }
 
-TEST (InstanceDirectory, EntriesThatLapseWhileTheSourceIsUnsoundStayUsableForAWhile)
+TEST (InstanceDirectory, LapsedEntriesStayUsableForTheGracePeriod)
 {
     InstanceDirectory directory;
     directory.put (at (0), makeInstance ("a", "z1", 1), revision (5));
-    directory.removeAllBut (at (10), {}, revision (9), unsound);
+    directory.removeAllBut (at (10), {}, revision (9), untrusted);
     EXPECT_EQ (usable (directory), Ids{ "a" });
     EXPECT_EQ (directory.snapshot()->byService.at ("desk")[0].state, InstanceState::lapsed);
     directory.advance (at (2500));
@@ -64,17 +64,17 @@
     EXPECT_TRUE (usable (directory).empty());
 }
 
-TEST (InstanceDirectory, AnEntryThatComesBackIsReadyAgain)
+TEST (InstanceDirectory, ALapsedEntryThatIsListedAgainIsReady)
 {
     InstanceDirectory directory;
     directory.put (at (0), makeInstance ("a", "z1", 1), revision (5));
-    directory.remove (at (10), "a", revision (9), unsound);
+    directory.remove (at (10), "a", revision (9), untrusted);
     directory.put (at (20), makeInstance ("a", "z1", 1), revision (11));
     directory.advance (at (9000));
     EXPECT_EQ (directory.snapshot()->byService.at ("desk")[0].state, InstanceState::ready);
 }
 
-TEST (InstanceDirectory, TheNewestEntryOfAnAddressCounts)
+TEST (InstanceDirectory, TheNewestEntryOfAnAddressIsUsed)
 {
     InstanceDirectory directory;
     directory.put (at (0), makeInstance ("dead", "z1", 1, 5), revision (5));
@@ -91,7 +91,7 @@
     return { makeInstance (id, "z1", 1, createdAt), state, revision (createdAt), at (0) };
 }
 
-TEST (InstanceDirectory, AnIncarnationThatBeganEarlierThanTheKnownNamesNoInstance)
+TEST (InstanceDirectory, AnEntryWithAnEarlierStartTimeIsNotUsable)
 {
     InstanceDirectory directory;
     directory.put (at (0), bornAt (makeInstance ("a", "z1", 1), 2000), revision (5));
@@ -103,26 +103,26 @@
     EXPECT_EQ (usable (directory), Ids{ "a" });
 }
 
-TEST (InstanceDirectory, ALaterIncarnationIsInUseAtOnceThoughTheIdsLeavingIsRemembered)
+TEST (InstanceDirectory, ALaterIncarnationOfADepartedInstanceIsUsableAtOnce)
 {
     InstanceDirectory directory;
     directory.put (at (0), bornAt (makeInstance ("a", "z1", 1), 1000), revision (5));
-    directory.remove (at (1), "a", revision (6), sound);
+    directory.remove (at (1), "a", revision (6), trusted);
     directory.put (at (2), bornAt (makeInstance ("a", "z1", 1), 2000), revision (7));
     EXPECT_EQ (usable (directory), Ids{ "a" });
 }
 
-TEST (InstanceDirectory, EntriesThatDoNotTellTheirStartAreTakenAsTheyAre)
+TEST (InstanceDirectory, EntriesWithoutAStartTimeAreAccepted)
 {
     InstanceDirectory directory;
     directory.put (at (0), bornAt (makeInstance ("a", "z1", 1), 1000), revision (5));
     directory.put (at (1), makeInstance ("a", "z1", 1), revision (6));
     EXPECT_EQ (usable (directory), Ids{ "a" });
     directory.put (at (2), bornAt (makeInstance ("a", "z1", 1), 500), revision (7));
-    EXPECT_TRUE (usable (directory).empty()) << "it told before";
+    EXPECT_TRUE (usable (directory).empty()) << "the start time was known before";
 }
 
-TEST (LocalInstance, AnotherIncarnationUnderItsIdIsAnotherInstance)
+TEST (LocalInstance, ALaterIncarnationWithTheSameIdIsAnotherInstance)
 {
     LocalInstance local ("desk");
     auto entry = listed ("a", 5);
@@ -136,13 +136,13 @@
     EXPECT_FALSE (local.lost());
 }
 
-TEST (LocalInstance, TheInstancesOwnWordBeatsTheEntryOfADeadOne)
+TEST (LocalInstance, TheReportedIdTakesPrecedenceOverTheEntryOfADeadInstance)
 {
     LocalInstance local ("desk");
     const auto dead = listed ("dead", 5);
     EXPECT_TRUE (local.takeEntry (&dead));
     EXPECT_TRUE (local.heard ("alive"));
-    EXPECT_FALSE (local.takeEntry (&dead)); // It still stands in the store.
+    EXPECT_FALSE (local.takeEntry (&dead)); // The store still lists it.
     EXPECT_EQ (local.id(), "alive");
     EXPECT_EQ (local.service(), "desk");
 
@@ -151,7 +151,7 @@
     EXPECT_EQ (local.identitySource(), IdentitySource::entry);
 }
 
-TEST (LocalInstance, AnEntryCreatedLaterBeatsTheInstancesOwnWord)
+TEST (LocalInstance, AnEntryCreatedLaterTakesPrecedenceOverTheReportedId)
 {
     LocalInstance local ("desk");
     const auto first = listed ("first", 5);
@@ -164,7 +164,7 @@
     EXPECT_EQ (local.service(), "hub");
 }
 
-TEST (LocalInstance, LeavesAsItsEntrySays)
+TEST (LocalInstance, LeavingIsTakenFromTheEntry)
 {
     LocalInstance local ("desk");
     const auto leaving = listed ("a", 5, InstanceState::leaving);
@@ -175,7 +175,7 @@
     EXPECT_FALSE (local.leaving());
 }
 
-TEST (LocalInstance, IsLostByOneRefusedConnectionOrSeveralSilentCalls)
+TEST (LocalInstance, IsLostAfterOneRefusedConnectionOrSeveralUnansweredCalls)
 {
     LocalInstance local ("desk");
     const auto entry = listed ("a", 5);
@@ -192,7 +192,7 @@
     EXPECT_TRUE (local.failed (at (2), false));
 }
 
-TEST (InstanceDirectory, EvacuatedZonesKeepTheirPlaceAmongTheNodes)
+TEST (InstanceDirectory, InstancesInEvacuatedZonesStillCountAsNodes)
 {
     InstanceDirectory directory;
     directory.put (at (0), makeInstance ("a", "z1", 1), revision (5));
