--- a/src/mesh/instance_poll.cc
+++ b/src/mesh/instance_poll.cc
@@ -8,10 +8,16 @@
 namespace
 {
 
-constexpr double waitDoubtShare = 0.5;    // Of the usual run: a wait may be longer than forecast.
-constexpr double failedRunCost = 10;      // In usual runs: much of the time that a request has.
-constexpr double tolerableFailures = 0.1; // Beyond it others are asked first.
-constexpr double goodEnoughShare = 1.25;  // Of the usual run: instances differ more than that.
+// Added to the cost of an instance with a queue, as a share of the usual run time, since the wait
+// may be longer than forecast.
+constexpr double queueRiskShare = 0.5;
+// Cost of a failed run in usual run times: it uses up much of the time that a request has.
+constexpr double failedRunCost = 10;
+// Above this share of failed runs other instances are asked first.
+constexpr double tolerableFailureShare = 0.1;
+// An instance is taken at once up to this multiple of the usual run time. The differences between
+// instances are larger than that.
+constexpr double goodEnoughFactor = 1.25;
 
 } // namespace
 
@@ -65,10 +71,11 @@
 
 double InstancePoll::costOf (const LoadReply& reply, double crossingMs) const
 {
-    const auto link = largeBody ? reply.bodyMs : 0;
-    const auto doubt = reply.decision == AdmissionDecision::wait ? waitDoubtShare * usualRun : 0;
+    const auto transfer = largeBody ? reply.bodyMs : 0;
+    const auto queueRisk =
+        reply.decision == AdmissionDecision::wait ? queueRiskShare * usualRun : 0;
     const auto failures = reply.failureShare * failedRunCost * usualRun;
-    return reply.expectedMs + doubt + failures + link + crossingMs;
+    return reply.expectedMs + queueRisk + failures + transfer + crossingMs;
 }
 
 double InstancePoll::costOf (const PolledInstance& candidate) const
@@ -97,7 +104,7 @@
 bool InstancePoll::isGoodEnough (const LoadReply& reply, double crossingMs) const
 {
     return reply.decision == AdmissionDecision::run &&
-           costOf (reply, crossingMs) <= goodEnoughShare * usualRun + crossingMs;
+           costOf (reply, crossingMs) <= goodEnoughFactor * usualRun + crossingMs;
 }
 
 bool InstancePoll::isInTime (const PolledInstance& candidate) const
@@ -110,7 +117,7 @@
     const bool found = findBest();
 
     if (found && best().reply.decision == AdmissionDecision::run &&
-        best().reply.failureShare <= tolerableFailures)
+        best().reply.failureShare <= tolerableFailureShare)
         return PollStep::take;
 
     if (std::exchange (mayWiden, false))
--- a/src/mesh/instance_poll.h
+++ b/src/mesh/instance_poll.h
@@ -1,12 +1,12 @@
-/** Decides, from what the nodes beside some instances say of their load, which instance gets a
-    request. Deciding code without I/O: answers and the end of the wait in, the next step out.
-
-    Few instances are asked, drawn at random, and the answers are as young as the way from there:
-    that spreads the load of a large fleet better than old knowledge of all instances (Mitzenmacher,
-    "The Power of Two Choices in Randomized Load Balancing"; Wydrowski and others, "Load is not what
-    you should balance", on asking before sending). Some of the own zone are asked first; further
-    ones, of other zones of the region, too, only when none of these is free; those of other regions
-    only when none of the region could answer in time.
+/** Selects the instance for a request from the load that the nodes of a few instances report.
+    This is decision logic without I/O: it takes replies and time-outs and returns the next step.
+
+    Only a few random instances are asked, and their replies are only as old as the network latency.
+    This spreads the load of a large fleet better than older information about all instances
+    (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing"; Wydrowski and others,
+    "Load is not what you should balance", on probing before sending). Instances of the own zone are
+    asked first. Further ones, including other zones of the region, are asked only if none of these
+    is free, and other regions only if no instance of the region could answer in time.
 */
 #pragma once
 
@@ -21,50 +21,53 @@
 
 enum class PollStep : std::uint8_t
 {
-    wait,    /**< For further answers. */
-    take,    /**< best() gets the request. */
-    widen,   /**< Ask further instances, of other zones, too. */
-    refuse,  /**< All that answered refuse; refusal() says why. */
-    unheard, /**< Nobody answered anything of use. */
-    widenFar /**< Ask instances of other regions, too. */
+    wait,    /**< Wait for further replies. */
+    take,    /**< Send the request to best(). */
+    widen,   /**< Ask further instances, including those in other zones. */
+    refuse,  /**< All replies refuse, some for load; refusal() is the cause. */
+    unheard, /**< There was no usable reply. */
+    widenFar /**< Also ask instances in other regions. */
 };
 
 inline constexpr std::string_view pollStepNames[] = { "wait",   "take",    "widen",
                                                       "refuse", "unheard", "widen_far" };
 
-/** One instance that was asked, and its answer. */
+/** An instance that was asked, and its reply. */
 struct PolledInstance
 {
     Instance instance;
-    double crossingMs = 0; /**< What it costs to cross to its zone, as time. */
+    double crossingMs = 0; /**< Cost of reaching its zone, expressed as time. */
     bool answered = false;
     LoadReply reply;
 };
 
-/** Of one attempt of one request. Not thread-safe. */
+/** The poll for one attempt of one request. Not thread-safe. */
 class InstancePoll
 {
 public:
-    /** @param usualRunMs  of the route; an instance that is free and not much slower is taken
-                           without waiting for the others
-        @param largeBody   the request has a large body, so that links count
+    /** @param usualRunMs  the route's usual run time; a free instance that isn't much slower is
+                           taken without waiting for the others
+        @param largeBody   true if the request has a large body, so that the time to transfer it is
+                           part of the cost
     */
     InstancePoll (double usualRunMs, bool largeBody);
 
-    /** There are other regions, which may be asked, too.
-        @param targetLeftMs  until the request's answer counts as late
+    /** Allows the poll to ask instances in other regions.
+        @param targetLeftMs  time left until the request's answer counts as late
     */
     void allowOtherRegions (double targetLeftMs);
 
     void ask (Instance instance, double crossingMs);
 
-    /** An instance of the own zone that answers so is taken without asking any other. */
+    /** @returns true if an instance of the own zone with this reply is taken at once */
     bool endsSearch (const LoadReply& reply) const;
 
-    /** An answer came. One of an instance that wasn't asked, or a second one, changes nothing. */
+    /** Processes a reply. One from an instance that wasn't asked, and a second one from the same
+        instance, have no effect.
+    */
     PollStep replied (const LoadReply& reply);
 
-    /** Waited for long enough. */
+    /** Decides without the missing replies, since the wait is over. */
     PollStep timeUp();
 
     const PolledInstance& best() const { return asked[bestIndex]; }
--- a/src/mesh/load_query.cc
+++ b/src/mesh/load_query.cc
@@ -12,13 +12,14 @@
 namespace
 {
 
-constexpr std::uint32_t queryMark = 0x636f7073, replyMark = 0x636f7072;
-constexpr std::size_t longestName = 255;
-constexpr double longestMs = 3'600'000, mostLoad = 1'000'000; // Beyond them a reply is no reply.
+constexpr std::uint32_t queryMagic = 0x636f7073, replyMagic = 0x636f7072;
+constexpr std::size_t maxNameLength = 255;
+// Datagrams with larger values are rejected.
+constexpr double maxMs = 3'600'000, maxLoad = 1'000'000;
 
-bool inRange (double value, double most)
+bool inRange (double value, double max)
 {
-    return std::isfinite (value) && value >= 0 && value <= most;
+    return std::isfinite (value) && value >= 0 && value <= max;
 }
 
 template <typename Archive, typename Enum>
@@ -29,10 +30,11 @@
     value = static_cast<Enum> (number);
 }
 
-// Under load nearly every search asks in other zones, too, where each byte is dear: what follows
-// saves a third of a query and its reply (193 to 139 bytes with names of ten letters).
+// Under load nearly every search also asks instances in other zones, and traffic between zones is
+// expensive. The compact encodings below reduce a query and its reply from 193 to 139 bytes, with
+// names of ten letters.
 
-/** Waits are shorter than a month. */
+/** Encodes a time in 32 bits, which is enough since waits are shorter than a month. */
 template <typename Archive>
 void archiveTime (Archive& archive, Milliseconds& value)
 {
@@ -42,7 +44,7 @@
     value = Milliseconds (count);
 }
 
-/** An estimate, for which seven digits are plenty. */
+/** Encodes an estimate as a float, whose seven digits are precise enough. */
 template <typename Archive>
 void archiveEstimate (Archive& archive, double& value)
 {
@@ -51,11 +53,11 @@
     value = static_cast<double> (estimate);
 }
 
-/** A name; what is longer than names are doesn't come back whole. */
+/** Encodes a name, truncated to `maxNameLength` bytes. */
 template <typename Archive>
 void archiveName (Archive& archive, std::string& name)
 {
-    auto length = static_cast<std::uint8_t> (std::min (name.size(), longestName));
+    auto length = static_cast<std::uint8_t> (std::min (name.size(), maxNameLength));
     archive (length);
     name.resize (length);
     archive (cereal::binary_data (name.data(), length));
@@ -90,18 +92,19 @@
     archiveEstimate (archive, reply.failureShare);
 }
 
-std::string encode (const LoadQuery& query) { return encodeDatagram (queryMark, query); }
+std::string encode (const LoadQuery& query) { return encodeDatagram (queryMagic, query); }
 
-std::string encode (const LoadReply& reply) { return encodeDatagram (replyMark, reply); }
+std::string encode (const LoadReply& reply) { return encodeDatagram (replyMagic, reply); }
 
 std::optional<LoadQuery> decodeLoadQuery (std::string_view bytes)
 {
-    auto query = decodeDatagram<LoadQuery> (queryMark, bytes);
-    const Milliseconds longest (static_cast<std::int64_t> (longestMs));
-    const auto sane = [&] (Milliseconds time) { return time >= -longest && time <= longest; };
+    auto query = decodeDatagram<LoadQuery> (queryMagic, bytes);
+    const Milliseconds maxTime (static_cast<std::int64_t> (maxMs));
+    const auto isPlausible = [&] (Milliseconds time)
+    { return time >= -maxTime && time <= maxTime; };
 
-    if (! query || ! inRange (query->usualRunMs, longestMs) || ! sane (query->timeLeft) ||
-        ! sane (query->targetLeft))
+    if (! query || ! inRange (query->usualRunMs, maxMs) || ! isPlausible (query->timeLeft) ||
+        ! isPlausible (query->targetLeft))
         return std::nullopt;
 
     return query;
@@ -109,12 +112,12 @@
 
 std::optional<LoadReply> decodeLoadReply (std::string_view bytes)
 {
-    auto reply = decodeDatagram<LoadReply> (replyMark, bytes);
+    auto reply = decodeDatagram<LoadReply> (replyMagic, bytes);
 
     if (! reply || reply->decision > AdmissionDecision::refuse ||
         static_cast<std::size_t> (reply->cause) >= std::size (hopCauseNames) ||
-        ! inRange (reply->expectedMs, longestMs) || ! inRange (reply->load, mostLoad) ||
-        ! inRange (reply->runMs, longestMs) || ! inRange (reply->bodyMs, longestMs) ||
+        ! inRange (reply->expectedMs, maxMs) || ! inRange (reply->load, maxLoad) ||
+        ! inRange (reply->runMs, maxMs) || ! inRange (reply->bodyMs, maxMs) ||
         ! inRange (reply->failureShare, 1))
         return std::nullopt;
 
--- a/src/mesh/load_query.h
+++ b/src/mesh/load_query.h
@@ -1,6 +1,7 @@
-/** What a node asks another just before it sends a request there, and the answer: how the node
-    beside the instance would take the request now. Datagrams, so either may be lost, late or
-    forged; a reply says which instance to prefer and never whether a request may be run.
+/** The query that a node sends to another node just before it sends a request there, and the reply,
+    which states how the instance's node would handle the request now. Both are datagrams, so either
+    may be lost, late or forged. A reply therefore only affects which instance is preferred, never
+    whether a request may run.
 */
 #pragma once
 
@@ -18,34 +19,35 @@
 
 struct LoadQuery
 {
-    std::uint64_t number = 0; /**< Of the asking node; comes back with the reply. */
-    std::string service;      /**< That the request is for. */
-    std::string instanceId;   /**< That is asked about. */
+    std::uint64_t number = 0; /**< Assigned by the asking node and repeated in the reply. */
+    std::string service;      /**< The service that the request is for. */
+    std::string instanceId;   /**< The instance whose load is queried. */
     std::string route;
     std::int32_t priority = 0;
-    Milliseconds timeLeft{};   /**< Until the request's deadline. */
-    Milliseconds targetLeft{}; /**< Until its answer counts as late; may be negative. */
-    double usualRunMs = 0;     /**< Of the route, as the asking node knows it. */
+    Milliseconds timeLeft{};   /**< Time left until the request's deadline. */
+    Milliseconds targetLeft{}; /**< Time left until the answer counts as late; may be negative. */
+    double usualRunMs = 0;     /**< Usual run time of the route, as estimated by the asking node. */
 };
 
 struct LoadReply
 {
-    std::uint64_t number = 0; /**< Of the query. */
-    std::string instanceId;   /**< Of the query. */
+    std::uint64_t number = 0; /**< The query's number. */
+    std::string instanceId;   /**< The query's instance. */
     AdmissionDecision decision = AdmissionDecision::refuse;
-    HopCause cause = HopCause::none; /**< Of a refusal. */
-    double expectedMs = 0;           /**< Until the request's end there, its wait included. */
-    double load = 0;                 /**< Requests that run and wait there. */
-    double runMs = 0;                /**< Usual time of a run there, over all routes. */
-    double bodyMs = 0;               /**< Until a large body would have arrived. */
-    double failureShare = 0;         /**< Of the latest runs there. */
+    HopCause cause = HopCause::none; /**< Cause of a refusal. */
+    double expectedMs = 0;   /**< Expected time until the request ends there, with queueing. */
+    double load = 0;         /**< Number of requests that are running or queued there. */
+    double runMs = 0;        /**< Usual run time there, over all routes. */
+    double bodyMs = 0;       /**< Expected time to transfer a large body. */
+    double failureShare = 0; /**< Share of the latest runs there that failed. */
 };
 
 std::string encode (const LoadQuery& query);
 std::string encode (const LoadReply& reply);
 
-/** @returns nothing when the datagram is no whole query or reply, or holds a value out of range */
+/** @returns nothing if the datagram isn't a complete query, or holds a value out of range */
 std::optional<LoadQuery> decodeLoadQuery (std::string_view bytes);
+/** @returns nothing if the datagram isn't a complete reply, or holds a value out of range */
 std::optional<LoadReply> decodeLoadReply (std::string_view bytes);
 
 } // namespace copperlead::mesh
--- a/tests/mesh/instance_poll_test.cc
+++ b/tests/mesh/instance_poll_test.cc
@@ -24,7 +24,7 @@
     return { 1, id, AdmissionDecision::refuse, cause, 0, 9, 100, 0, 0 };
 }
 
-/** Asks a, b and c of the own zone. Runs usually take 100 ms. */
+/** Asks the instances a, b and c in the own zone. The usual run time is 100 ms. */
 class Poll : public ::testing::Test
 {
 protected:
@@ -34,7 +34,7 @@
             poll.ask (makeInstance (id, "z1", 1), 0);
     }
 
-    void askElsewhere()
+    void askOtherZone()
     {
         for (const auto* id : { "x", "y" })
             poll.ask (makeInstance (id, "z2", 2), 30);
@@ -59,17 +59,17 @@
     EXPECT_EQ (poll.best().instance.id, "b");
 }
 
-TEST_F (Poll, OtherZonesAreAskedOnlyWhenNothingInTheOwnIsFree)
+TEST_F (Poll, OtherZonesAreAskedOnlyIfNoInstanceOfTheOwnZoneIsFree)
 {
     poll.replied (busy ("a", 160));
     poll.replied (busy ("b", 150));
     EXPECT_EQ (poll.replied (refusing ("c")), PollStep::widen);
-    askElsewhere();
+    askOtherZone();
     EXPECT_EQ (poll.replied (free ("x")), PollStep::take);
     EXPECT_EQ (poll.best().instance.id, "x");
 }
 
-TEST_F (Poll, AShortWaitIsBetterThanAnExpensiveWay)
+TEST_F (Poll, AShortQueueIsPreferredToAnExpensiveCrossing)
 {
     poll.replied (busy ("a", 120));
     poll.replied (busy ("b", 150));
@@ -79,36 +79,36 @@
     EXPECT_EQ (poll.best().instance.id, "a");
 }
 
-TEST_F (Poll, WithoutOtherZonesTheShortestWaitIsTaken)
+TEST_F (Poll, WithoutOtherZonesTheShortestQueueIsTaken)
 {
-    EXPECT_EQ (poll.timeUp(), PollStep::widen); // Which is used up by it.
+    EXPECT_EQ (poll.timeUp(), PollStep::widen); // The poll widens only once.
     poll.replied (busy ("a", 160));
     poll.replied (busy ("b", 150));
     EXPECT_EQ (poll.replied (refusing ("c")), PollStep::take);
     EXPECT_EQ (poll.best().instance.id, "b");
 }
 
-TEST_F (Poll, WhenAllRefuseForLoadTheRequestIsRefused)
+TEST_F (Poll, TheRequestIsRefusedIfAllRefuseAndSomeForLoad)
 {
     for (const auto* id : { "a", "b" })
         EXPECT_EQ (poll.replied (refusing (id)), PollStep::wait);
 
     EXPECT_EQ (poll.replied (refusing ("c")), PollStep::widen);
-    askElsewhere();
+    askOtherZone();
     EXPECT_EQ (poll.replied (refusing ("x")), PollStep::wait);
     EXPECT_EQ (poll.replied (refusing ("y", HopCause::instanceLeaving)), PollStep::refuse);
     EXPECT_EQ (poll.refusal(), HopCause::queueFull);
 }
 
-TEST_F (Poll, RefusalsThatAreNotAboutLoadSayNothingOfTheService)
+TEST_F (Poll, RefusalsForOtherReasonsThanLoadAreNotUsable)
 {
-    EXPECT_EQ (poll.timeUp(), PollStep::widen); // Which is used up by it.
+    EXPECT_EQ (poll.timeUp(), PollStep::widen); // The poll widens only once.
     poll.replied (refusing ("a", HopCause::instanceDown));
     poll.replied (refusing ("b", HopCause::instanceUnknown));
     EXPECT_EQ (poll.replied (refusing ("c", HopCause::nodeStopping)), PollStep::unheard);
 }
 
-TEST_F (Poll, AnInstanceThatFailsItsRunsDoesNotCountAsFree)
+TEST_F (Poll, AnInstanceWithFailedRunsDoesNotCountAsFree)
 {
     auto failing = free ("a", 5);
     failing.failureShare = 0.4;
@@ -119,9 +119,9 @@
     EXPECT_EQ (poll.best().instance.id, "b");
 }
 
-TEST_F (Poll, AnInstanceThatFailsIsTakenIfTheOthersRefuse)
+TEST_F (Poll, AnInstanceWithFailedRunsIsTakenIfTheOthersRefuse)
 {
-    EXPECT_EQ (poll.timeUp(), PollStep::widen); // Which is used up by it.
+    EXPECT_EQ (poll.timeUp(), PollStep::widen); // The poll widens only once.
     auto failing = free ("a", 5);
     failing.failureShare = 0.4;
     poll.replied (failing);
@@ -130,7 +130,7 @@
     EXPECT_EQ (poll.best().instance.id, "a");
 }
 
-TEST_F (Poll, WhoeverIsSilentIsNotWaitedForLonger)
+TEST_F (Poll, ATimeOutEndsTheWaitForMissingReplies)
 {
     poll.replied (busy ("a", 150));
     EXPECT_EQ (poll.timeUp(), PollStep::widen);
@@ -138,13 +138,13 @@
     EXPECT_EQ (poll.best().instance.id, "a");
 }
 
-TEST_F (Poll, WithoutAnyAnswerItIsUnheard)
+TEST_F (Poll, WithoutAnyReplyThereIsNoUsableOne)
 {
     EXPECT_EQ (poll.timeUp(), PollStep::widen);
     EXPECT_EQ (poll.timeUp(), PollStep::unheard);
 }
 
-TEST_F (Poll, AnswersOfOthersAndSecondAnswersChangeNothing)
+TEST_F (Poll, UnexpectedAndRepeatedRepliesAreIgnored)
 {
     EXPECT_EQ (poll.replied (free ("stranger")), PollStep::wait);
     EXPECT_EQ (poll.replied (busy ("a", 150)), PollStep::wait);
@@ -154,7 +154,7 @@
     EXPECT_EQ (poll.best().reply.expectedMs, 150);
 }
 
-TEST_F (Poll, OtherRegionsAreAskedOnlyWhenNothingInTheOwnAnswersInTime)
+TEST_F (Poll, OtherRegionsAreAskedOnlyIfNoInstanceOfTheRegionCanAnswerInTime)
 {
     poll.allowOtherRegions (400);
     EXPECT_EQ (poll.timeUp(), PollStep::widen);
@@ -166,7 +166,7 @@
     EXPECT_EQ (poll.best().instance.id, "far");
 }
 
-TEST_F (Poll, AWaitInTimeStaysInTheRegion)
+TEST_F (Poll, AQueueWithinTheTargetStaysInTheRegion)
 {
     poll.allowOtherRegions (400);
     EXPECT_EQ (poll.timeUp(), PollStep::widen);
@@ -175,7 +175,7 @@
     EXPECT_EQ (poll.replied (refusing ("c")), PollStep::take);
 }
 
-TEST (PollOfALargeBody, TheWayOverTheLinkCounts)
+TEST (LargeBodyPoll, TheTransferTimeIsPartOfTheCost)
 {
     InstancePoll poll (100, true);
     poll.ask (makeInstance ("a", "z1", 1), 0);
--- a/tests/mesh/load_query_test.cc
+++ b/tests/mesh/load_query_test.cc
@@ -11,16 +11,16 @@
 
 LoadQuery query()
 {
-    LoadQuery made;
-    made.number = 7;
-    made.service = "desk";
-    made.instanceId = "i-1";
-    made.route = "lookup";
-    made.priority = 2;
-    made.timeLeft = Milliseconds (900);
-    made.targetLeft = Milliseconds (-20);
-    made.usualRunMs = 96.5;
-    return made;
+    LoadQuery result;
+    result.number = 7;
+    result.service = "desk";
+    result.instanceId = "i-1";
+    result.route = "lookup";
+    result.priority = 2;
+    result.timeLeft = Milliseconds (900);
+    result.targetLeft = Milliseconds (-20);
+    result.usualRunMs = 96.5;
+    return result;
 }
 
 LoadReply reply()
@@ -28,80 +28,80 @@
     return { 7, "i-1", AdmissionDecision::wait, HopCause::none, 130.5, 6, 96, 12, 0.25 };
 }
 
-TEST (LoadQueryCodec, QueriesAndRepliesComeBack)
+TEST (LoadQueryCodec, QueriesAndRepliesAreDecodedUnchanged)
 {
-    const auto asked = decodeLoadQuery (encode (query()));
-    ASSERT_TRUE (asked);
-    EXPECT_EQ (asked->number, 7U);
-    EXPECT_EQ (asked->service, "desk");
-    EXPECT_EQ (asked->instanceId, "i-1");
-    EXPECT_EQ (asked->route, "lookup");
-    EXPECT_EQ (asked->priority, 2);
-    EXPECT_EQ (asked->timeLeft, Milliseconds (900));
-    EXPECT_EQ (asked->targetLeft, Milliseconds (-20));
-    EXPECT_EQ (asked->usualRunMs, 96.5);
+    const auto decodedQuery = decodeLoadQuery (encode (query()));
+    ASSERT_TRUE (decodedQuery);
+    EXPECT_EQ (decodedQuery->number, 7U);
+    EXPECT_EQ (decodedQuery->service, "desk");
+    EXPECT_EQ (decodedQuery->instanceId, "i-1");
+    EXPECT_EQ (decodedQuery->route, "lookup");
+    EXPECT_EQ (decodedQuery->priority, 2);
+    EXPECT_EQ (decodedQuery->timeLeft, Milliseconds (900));
+    EXPECT_EQ (decodedQuery->targetLeft, Milliseconds (-20));
+    EXPECT_EQ (decodedQuery->usualRunMs, 96.5);
 
-    const auto told = decodeLoadReply (encode (reply()));
-    ASSERT_TRUE (told);
-    EXPECT_EQ (told->number, 7U);
-    EXPECT_EQ (told->instanceId, "i-1");
-    EXPECT_EQ (told->decision, AdmissionDecision::wait);
-    EXPECT_EQ (told->cause, HopCause::none);
-    EXPECT_EQ (told->expectedMs, 130.5);
-    EXPECT_EQ (told->load, 6);
-    EXPECT_EQ (told->runMs, 96);
-    EXPECT_EQ (told->bodyMs, 12);
-    EXPECT_EQ (told->failureShare, 0.25);
+    const auto decodedReply = decodeLoadReply (encode (reply()));
+    ASSERT_TRUE (decodedReply);
+    EXPECT_EQ (decodedReply->number, 7U);
+    EXPECT_EQ (decodedReply->instanceId, "i-1");
+    EXPECT_EQ (decodedReply->decision, AdmissionDecision::wait);
+    EXPECT_EQ (decodedReply->cause, HopCause::none);
+    EXPECT_EQ (decodedReply->expectedMs, 130.5);
+    EXPECT_EQ (decodedReply->load, 6);
+    EXPECT_EQ (decodedReply->runMs, 96);
+    EXPECT_EQ (decodedReply->bodyMs, 12);
+    EXPECT_EQ (decodedReply->failureShare, 0.25);
 }
 
-TEST (LoadQueryCodec, StrayDatagramsAreRefused)
+TEST (LoadQueryCodec, ForeignAndTruncatedDatagramsAreRejected)
 {
-    const auto asked = encode (query());
-    const auto told = encode (reply());
-    EXPECT_FALSE (decodeLoadQuery (told));
-    EXPECT_FALSE (decodeLoadReply (asked));
+    const auto encodedQuery = encode (query());
+    const auto encodedReply = encode (reply());
+    EXPECT_FALSE (decodeLoadQuery (encodedReply));
+    EXPECT_FALSE (decodeLoadReply (encodedQuery));
 
-    for (const auto& stray : { std::string(), std::string ("hello"), "x" + asked })
+    for (const auto& stray : { std::string(), std::string ("hello"), "x" + encodedQuery })
     {
         EXPECT_FALSE (decodeLoadQuery (stray));
         EXPECT_FALSE (decodeLoadReply (stray));
     }
 
-    for (std::size_t size = 0; size < told.size(); ++size)
-        EXPECT_FALSE (decodeLoadReply (told.substr (0, size))) << size;
+    for (std::size_t size = 0; size < encodedReply.size(); ++size)
+        EXPECT_FALSE (decodeLoadReply (encodedReply.substr (0, size))) << size;
 
-    for (std::size_t size = 0; size < asked.size(); ++size)
-        EXPECT_FALSE (decodeLoadQuery (asked.substr (0, size))) << size;
+    for (std::size_t size = 0; size < encodedQuery.size(); ++size)
+        EXPECT_FALSE (decodeLoadQuery (encodedQuery.substr (0, size))) << size;
 }
 
-TEST (LoadQueryCodec, ValuesOutOfRangeAreRefused)
+TEST (LoadQueryCodec, ValuesOutOfRangeAreRejected)
 {
     for (const double bad : { -1.0, 1e300, std::numeric_limits<double>::infinity(),
                               std::numeric_limits<double>::quiet_NaN() })
     {
-        auto told = reply();
-        told.expectedMs = bad;
-        EXPECT_FALSE (decodeLoadReply (encode (told))) << bad;
-        told = reply();
-        told.load = bad;
-        EXPECT_FALSE (decodeLoadReply (encode (told))) << bad;
-        told = reply();
-        told.failureShare = bad;
-        EXPECT_FALSE (decodeLoadReply (encode (told))) << bad;
-        auto asked = query();
-        asked.usualRunMs = bad;
-        EXPECT_FALSE (decodeLoadQuery (encode (asked))) << bad;
+        auto loadReply = reply();
+        loadReply.expectedMs = bad;
+        EXPECT_FALSE (decodeLoadReply (encode (loadReply))) << bad;
+        loadReply = reply();
+        loadReply.load = bad;
+        EXPECT_FALSE (decodeLoadReply (encode (loadReply))) << bad;
+        loadReply = reply();
+        loadReply.failureShare = bad;
+        EXPECT_FALSE (decodeLoadReply (encode (loadReply))) << bad;
+        auto loadQuery = query();
+        loadQuery.usualRunMs = bad;
+        EXPECT_FALSE (decodeLoadQuery (encode (loadQuery))) << bad;
     }
 
-    auto told = reply();
-    told.decision = static_cast<AdmissionDecision> (9);
-    EXPECT_FALSE (decodeLoadReply (encode (told)));
-    told = reply();
-    told.cause = static_cast<HopCause> (200);
-    EXPECT_FALSE (decodeLoadReply (encode (told)));
-    auto asked = query();
-    asked.timeLeft = Milliseconds (std::numeric_limits<std::int64_t>::max());
-    EXPECT_FALSE (decodeLoadQuery (encode (asked)));
+    auto loadReply = reply();
+    loadReply.decision = static_cast<AdmissionDecision> (9);
+    EXPECT_FALSE (decodeLoadReply (encode (loadReply)));
+    loadReply = reply();
+    loadReply.cause = static_cast<HopCause> (200);
+    EXPECT_FALSE (decodeLoadReply (encode (loadReply)));
+    auto loadQuery = query();
+    loadQuery.timeLeft = Milliseconds (std::numeric_limits<std::int64_t>::max());
+    EXPECT_FALSE (decodeLoadQuery (encode (loadQuery)));
 }
 
 } // namespace
