--- a/src/mesh/answer_time.cc
+++ b/src/mesh/answer_time.cc
@@ -10,12 +10,13 @@
 namespace
 {
 
-constexpr double smoothing = 0.125, deviationSmoothing = 0.25; // Of RFC 6298, as the next.
+// These three values are those of RFC 6298.
+constexpr double smoothing = 0.125, deviationSmoothing = 0.25;
 constexpr double deviations = 4;
-// The way to another region and back takes some 16 ms, and a busy machine of a tenth of a core
-// about as long again. More than the longest would cost a request too much of its target.
-constexpr double shortestMs = 40, longestMs = 200;
-constexpr int mostDoublings = 3;
+// A round trip to another region takes about 16 ms, and a busy machine with a tenth of a core adds
+// about as much again. A longer wait than the maximum would use up too much of a request's target.
+constexpr double minMs = 40, maxMs = 200;
+constexpr int maxDoublings = 3;
 
 } // namespace
 
@@ -35,12 +36,12 @@
     smoothedMs += smoothing * (ms - smoothedMs);
 }
 
-void AnswerTime::timedOut() { doublings = std::min (doublings + 1, mostDoublings); }
+void AnswerTime::timedOut() { doublings = std::min (doublings + 1, maxDoublings); }
 
 Duration AnswerTime::current() const
 {
     const auto ms = (smoothedMs + deviations * deviationMs) * std::exp2 (doublings);
-    return fromMilliseconds (std::clamp (ms, shortestMs, longestMs));
+    return fromMilliseconds (std::clamp (ms, minMs, maxMs));
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/answer_time.h
+++ b/src/mesh/answer_time.h
@@ -1,5 +1,6 @@
-/** How long to wait for an answer before asking again: a smoothed way there and back with room for
-   its spread, doubled at each answer that doesn't come (as in RFC 6298). Deciding code without I/O.
+/** Calculates how long to wait for an answer before asking again: the smoothed round-trip time
+    plus a multiple of its deviation, doubled for each time-out (as in RFC 6298). This is decision
+    logic without I/O.
 */
 #pragma once
 
@@ -12,7 +13,7 @@
 class AnswerTime
 {
 public:
-    /** An answer came, that long after its question was sent for the last time. */
+    /** Records an answer and the time since its query was last sent. */
     void answered (Duration took);
     void timedOut();
     Duration current() const;
--- a/src/mesh/avoidance.cc
+++ b/src/mesh/avoidance.cc
@@ -10,8 +10,9 @@
 {
 
 constexpr Milliseconds stoppingAvoidance{ 1500 };
-constexpr double slowAfterRuns = 3, leastSlowMs = 30;
-constexpr int arrivalsOfHedge = 2; // The slow attempt's, which isn't counted yet, and its own.
+constexpr double slowAfterRuns = 3, minSlowMs = 30;
+// A hedge adds its own arrival and that of the slow attempt, which isn't counted yet.
+constexpr int arrivalsOfHedge = 2;
 
 } // namespace
 
@@ -36,7 +37,7 @@
 Duration slowAfter (double usualMs, double expectedMs)
 {
     return fromMilliseconds (
-        std::max ({ slowAfterRuns * usualMs, leastSlowMs, expectedMs + 2 * usualMs }));
+        std::max ({ slowAfterRuns * usualMs, minSlowMs, expectedMs + 2 * usualMs }));
 }
 
 bool mayHedge (const RetryFacts& facts, int active)
--- a/src/mesh/avoidance.h
+++ b/src/mesh/avoidance.h
@@ -1,5 +1,5 @@
-/** For how long an instance is avoided after what a request met there, and when a second attempt
-    goes beside a slow one. Deciding code without I/O.
+/** Decides for how long an instance is avoided after a failed request, and when a slow attempt is
+    hedged by a second one. This is decision logic without I/O.
 */
 #pragma once
 
@@ -10,31 +10,34 @@
 namespace copperlead::mesh
 {
 
-/** Avoided at all costs after its node could not be connected to. */
+/** How long an instance gets no requests after a connection to its node failed. */
 inline constexpr Milliseconds unreachableAvoidance{ 600 };
 
-/** And after a call to its node was lost. */
+/** How long an instance gets no requests after a call to its node was lost. */
 inline constexpr Milliseconds lostAvoidance{ 400 };
 
-/** Chosen last after an answer that is far later than usual. */
+/** How long an instance is chosen last after an attempt took much longer than usual. */
 inline constexpr Milliseconds suspicionTime{ 1000 };
 
-/** Asked last after its node left a load query unanswered: a lost datagram costs it little traffic,
-    a node that is frozen or cut off is found out again each second by one query.
+/** How long an instance is asked last after its node left a load query unanswered. A lost datagram
+    thus costs the instance little traffic, and a node that is frozen or cut off is detected again
+    by one query per second.
 */
 inline constexpr Milliseconds silentAvoidance{ 1000 };
 
-/** @returns for how long its node's word is to be heeded; zero: it says nothing against it */
+/** @returns for how long an instance is avoided after its node gave this cause, or zero if the
+    cause is no reason to avoid it
+*/
 Milliseconds avoidanceFor (HopCause cause);
 
-/** When an attempt without an answer counts as slow.
-    @param usualMs     time of a run on this route
-    @param expectedMs  by the choice of the instance, waiting included
+/** The time after which an unanswered attempt counts as slow.
+    @param usualMs     the usual run time of the route
+    @param expectedMs  the time expected when the instance was chosen, including queueing
 */
 Duration slowAfter (double usualMs, double expectedMs);
 
-/** Whether a request may run at a second instance beside a slow one.
-    @param active  attempts under way
+/** @returns true if a request may also be sent to a second instance while a slow attempt is running
+    @param active  number of attempts in flight
 */
 bool mayHedge (const RetryFacts& facts, int active);
 
--- a/src/mesh/cold_start.cc
+++ b/src/mesh/cold_start.cc
@@ -7,13 +7,13 @@
 namespace
 {
 
-// The rest is for what clocks may differ. Against what an instance bears for long, half of that,
-// the share of worth earned in the worst seconds of a day with a loss of all power rose from 0.39
-// to 0.44.
-constexpr double ceilingShare = 0.95;
+// The rest allows for clock differences. The limit is taken from the failure threshold instead of
+// the sustained rate, which is half of it, which raises the value of the requests that are
+// served in the worst seconds after a loss of all power.
+constexpr double thresholdShare = 0.95;
 
-/** Requests in a second that an instance doesn't fall over for. */
-double ceilingOf (const ColdProfile& profile, const ColdBounds& bounds)
+/** The number of requests per second above which a cold instance fails. */
+double failureThreshold (const ColdProfile& profile, const ColdBounds& bounds)
 {
     return profile.startsPerSecond * bounds.over + bounds.slack;
 }
@@ -25,11 +25,11 @@
     if (profile.longest.count() <= 0)
         return 0;
 
-    // A rate that can't be meant.
+    // Such a low rate is taken to be a configuration error.
     if (profile.startsPerSecond < 1)
         return 1;
 
-    return std::max (1, static_cast<int> (ceilingShare * ceilingOf (profile, bounds)));
+    return std::max (1, static_cast<int> (thresholdShare * failureThreshold (profile, bounds)));
 }
 
 int mostColdStartsInQuarter (const ColdProfile& profile, const ColdBounds& bounds)
@@ -41,7 +41,7 @@
 int unknownColdStarts (const ColdProfile& profile, const ColdBounds& bounds)
 {
     const auto most = mostColdStarts (profile, bounds);
-    const auto together = static_cast<int> (ceilingOf (profile, bounds));
+    const auto together = static_cast<int> (failureThreshold (profile, bounds));
     return std::clamp (2 * most - together, 0, most);
 }
 
@@ -54,14 +54,14 @@
 
 void ColdStart::listed (Timestamp learnedAt, Milliseconds remaining)
 {
-    const auto believed = remaining == unreadableColdTime ? profile.longest : remaining;
+    const auto effective = remaining == unreadableColdTime ? profile.longest : remaining;
     listedAt = learnedAt;
-    listedUntil = believed.count() > 0 ? learnedAt + believed : Timestamp{};
+    listedUntil = effective.count() > 0 ? learnedAt + effective : Timestamp{};
 }
 
 void ColdStart::answered (Timestamp now, std::optional<Milliseconds> remaining)
 {
-    // The question was asked of what was there before.
+    // The query was sent before the instance was presumed cold, so the answer is out of date.
     if (askedAt < presumedAt)
         return;
 
@@ -81,7 +81,7 @@
 
     auto latest = presumed ? presumedAt + profile.longest : answeredUntil;
 
-    // An entry from before the answer is no news.
+    // An entry that is older than the answer is out of date.
     if (presumed || listedAt > answeredAt)
         latest = std::max<Timestamp> (latest, listedUntil);
 
@@ -90,8 +90,8 @@
 
 bool ColdStart::wantsAnswer (Timestamp now) const
 {
-    const auto lastNews = std::max (presumedAt, listedUntil > now ? listedAt : Timestamp{});
-    return isCold (now) && answeredAt <= lastNews && now - askedAt >= askInterval;
+    const auto lastEvidence = std::max (presumedAt, listedUntil > now ? listedAt : Timestamp{});
+    return isCold (now) && answeredAt <= lastEvidence && now - askedAt >= askInterval;
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/cold_start.h
+++ b/src/mesh/cold_start.h
@@ -1,9 +1,10 @@
-/** Whether the instance beside a node is cold: it has started lately, or lost its warmth, and bears
-    few requests until it has warmed up; beyond them it falls over. Deciding code without I/O.
+/** Tracks whether a node's local instance is cold. An instance is cold when it has started recently
+    or has gone cold again; until it has warmed up it sustains only few requests and fails above
+    that. This is decision logic without I/O.
 
-    What the instance says of itself when it is asked is exact. Entries of the discovery source come
-    late, so one that calls the instance cold makes the node ask again. Whatever isn't known to be
-    warm counts as cold: an instance that the node hasn't seen before, and one whose zone gets
+    What the instance itself answers is exact. Entries of the discovery source arrive late, so an
+    entry that states that the instance is cold makes the node ask again. An instance that isn't
+    known to be warm counts as cold: one that the node hasn't seen before, and one whose zone gets
     requests again after an evacuation.
 */
 #pragma once
@@ -15,41 +16,43 @@
 namespace copperlead::mesh
 {
 
-/** How the instances of a service begin, as the configuration says. */
+/** The configured cold start behaviour of a service's instances. */
 struct ColdProfile
 {
-    Milliseconds longest{};     /**< For which an instance stays cold; 0: never. */
-    double startsPerSecond = 0; /**< Requests that a cold instance bears. */
+    Milliseconds longest{};     /**< How long an instance stays cold; 0 if it never is. */
+    double startsPerSecond = 0; /**< Request rate that a cold instance sustains. */
 
     bool operator== (const ColdProfile&) const = default;
 };
 
-/** What a cold instance gets in a second before it falls over, beyond what it bears. */
+/** The load above its sustained rate that a cold instance can get in a second before it fails. */
 struct ColdBounds
 {
-    double over = 1;  /**< A multiple of what it bears. */
-    double slack = 0; /**< Requests beyond that. */
+    double over = 1;  /**< Multiple of the sustained rate. */
+    double slack = 0; /**< Number of requests added to that. */
 };
 
-/** The most requests that are started at a cold instance within a second; 0: no bound. */
+/** The maximum number of requests started at a cold instance within a second; 0 if unlimited. */
 int mostColdStarts (const ColdProfile& profile, const ColdBounds& bounds);
 
-/** Of those, the most within a quarter of a second; 0: no bound. New connections open one after the
-    other, so of many starts at once some arrive later than others that follow a second behind. In
-    a model of an instance that opens one in 1 ms, 42 arrive in a second when 26 may start at once,
-    26 when 7 may in a quarter.
+/** The maximum number of those within a quarter of a second; 0 if unlimited. New connections open
+    one after the other, so if many requests start at once, some of them arrive late, within the
+    same second as requests started up to a second later. In a model of an instance that opens one
+    connection per ms, 42 requests arrive in a second if 26 may start at once, but 26 if 7 may start
+    in a quarter of a second.
 */
 int mostColdStartsInQuarter (const ColdProfile& profile, const ColdBounds& bounds);
 
-/** Of those, how many a node must take for granted that has just started, since its forerunner may
-    have sent as many: both together are to stay under the bounds.
+/** The number of those that a node which has just started must assume to be used up. Its
+    predecessor may have started the maximum within the same second, and both together must stay
+    within the bounds.
 */
 int unknownColdStarts (const ColdProfile& profile, const ColdBounds& bounds);
 
-/** Of an entry whose remaining time can't be read: as long as the configuration says. */
+/** Marks an entry whose remaining cold time is unreadable; the configured time is used instead. */
 inline constexpr Milliseconds unreadableColdTime{ -1 };
 
-/** The longest time for which an instance is believed to stay cold. */
+/** The longest remaining cold time that is accepted from an instance. */
 inline constexpr Milliseconds longestColdTime{ 3'600'000 };
 
 /** Not thread-safe. */
@@ -58,23 +61,26 @@
 public:
     void setProfile (const ColdProfile& newProfile) { profile = newProfile; }
 
-    /** Nothing is known of the instance any more. */
+    /** Discards what is known of the instance, so that it counts as cold until it answers. */
     void presumeCold (Timestamp now);
 
-    /** The instance's entry, as this node learned of it.
-        @param remaining  for which it said to stay cold
+    /** Records the instance's entry.
+        @param learnedAt  when this node learned of the entry
+        @param remaining  the remaining cold time that the entry states
     */
     void listed (Timestamp learnedAt, Milliseconds remaining);
 
-    /** The instance's own answer. @param remaining  nothing when the answer doesn't tell */
+    /** Records the instance's own answer.
+        @param remaining  the remaining cold time, or nothing if the answer doesn't state it
+    */
     void answered (Timestamp now, std::optional<Milliseconds> remaining);
 
-    /** Until when the instance counts as cold; in the past when it is warm. */
+    /** The time until which the instance counts as cold; in the past if the instance is warm. */
     Timestamp until() const;
 
     bool isCold (Timestamp now) const { return now < until(); }
 
-    /** True when the instance should be asked. */
+    /** @returns true if the instance should be asked whether it is cold */
     bool wantsAnswer (Timestamp now) const;
     void asked (Timestamp now) { askedAt = now; }
 
@@ -82,7 +88,7 @@
     static constexpr Milliseconds askInterval{ 250 };
 
     ColdProfile profile;
-    bool presumed = true; /**< As of `presumedAt`, and not yet answered. */
+    bool presumed = true; /**< Assumed cold since `presumedAt`, without an answer yet. */
     Timestamp presumedAt{};
     Timestamp listedAt{}, listedUntil{};
     Timestamp askedAt{}, answeredAt{}, answeredUntil{};
--- a/tests/mesh/avoidance_test.cc
+++ b/tests/mesh/avoidance_test.cc
@@ -17,7 +17,7 @@
     return facts;
 }
 
-TEST (Avoidance, LongestForWhatLeavesAndNoneForWhatIsOnlyFull)
+TEST (Avoidance, IsLongestForLeavingInstancesAndZeroForFullOnes)
 {
     EXPECT_GT (avoidanceFor (HopCause::instanceLeaving), avoidanceFor (HopCause::instanceDown));
     EXPECT_EQ (avoidanceFor (HopCause::instanceDown), lostAvoidance);
@@ -27,14 +27,14 @@
         EXPECT_EQ (avoidanceFor (cause), Milliseconds (0));
 }
 
-TEST (Avoidance, SlowIsFarBeyondTheUsualAndBeyondWhatWasExpected)
+TEST (Avoidance, AnAttemptIsSlowWellAfterTheUsualAndTheExpectedTime)
 {
     EXPECT_EQ (slowAfter (100, 0), Milliseconds (300));
     EXPECT_EQ (slowAfter (100, 500), Milliseconds (700));
     EXPECT_EQ (slowAfter (1, 0), Milliseconds (30));
 }
 
-TEST (Hedging, OnlyOneBesideOneAndOnlyOfWhatMayRepeat)
+TEST (Hedging, OnlyOneHedgeAndOnlyForRepeatableRequests)
 {
     EXPECT_TRUE (mayHedge (repeatable(), 1));
     EXPECT_FALSE (mayHedge (repeatable(), 2));
@@ -43,7 +43,7 @@
     EXPECT_FALSE (mayHedge (facts, 1));
 }
 
-TEST (Hedging, NotForWhatNoInstanceIsToGet)
+TEST (Hedging, NotForHeldRequests)
 {
     auto facts = repeatable();
     facts.isHeld = true;
--- a/tests/mesh/cold_start_test.cc
+++ b/tests/mesh/cold_start_test.cc
@@ -11,7 +11,7 @@
 
 constexpr ColdProfile profile{ Milliseconds (3000), 13 };
 
-/** Of an instance that the node has seen first at 0. */
+/** @returns the state for an instance that the node first saw at 0 */
 ColdStart justSeen()
 {
     ColdStart cold;
@@ -35,18 +35,18 @@
     EXPECT_FALSE (cold.wantsAnswer (at (0)));
 }
 
-TEST (ColdStart, WhatIsNotKnownToBeWarmCountsAsColdAndIsAsked)
+TEST (ColdStart, AnUnknownInstanceCountsAsColdAndIsAsked)
 {
     auto cold = justSeen();
     EXPECT_TRUE (cold.isCold (at (2999)));
     EXPECT_FALSE (cold.isCold (at (3000)));
     EXPECT_TRUE (cold.wantsAnswer (at (0)));
     cold.asked (at (0));
-    EXPECT_FALSE (cold.wantsAnswer (at (200))) << "the answer may be on its way";
+    EXPECT_FALSE (cold.wantsAnswer (at (200))) << "the answer may still arrive";
     EXPECT_TRUE (cold.wantsAnswer (at (250)));
 }
 
-TEST (ColdStart, TheInstancesOwnWordCounts)
+TEST (ColdStart, TheInstancesOwnAnswerDecides)
 {
     auto cold = justSeen();
     answer (cold, 10, Milliseconds (700));
@@ -58,7 +58,7 @@
     EXPECT_FALSE (warm.isCold (at (12)));
 }
 
-TEST (ColdStart, AnAnswerThatDoesNotTellChangesNothingAndIsNotAskedAgain)
+TEST (ColdStart, AfterAnAnswerWithoutAColdTimeTheInstanceStaysColdAndIsNotAskedAgain)
 {
     auto cold = justSeen();
     answer (cold, 10, std::nullopt);
@@ -66,7 +66,7 @@
     EXPECT_FALSE (cold.wantsAnswer (at (1000)));
 }
 
-TEST (ColdStart, AnAnswerFromBeforeTheZoneReturnedSaysNothing)
+TEST (ColdStart, AnAnswerToAQueryFromBeforeTheResetIsIgnored)
 {
     auto cold = justSeen();
     cold.asked (at (10));
@@ -76,7 +76,7 @@
     EXPECT_TRUE (cold.wantsAnswer (at (13)));
 }
 
-TEST (ColdStart, AnEntryThatIsNewerThanTheAnswerMakesItAskAgain)
+TEST (ColdStart, AnEntryNewerThanTheAnswerCausesAnotherQuery)
 {
     auto cold = justSeen();
     answer (cold, 10, Milliseconds (0));
@@ -90,7 +90,7 @@
     EXPECT_FALSE (cold.wantsAnswer (at (5004)));
 }
 
-TEST (ColdStart, AnEntryThatCannotBeReadCountsForTheWholeColdTime)
+TEST (ColdStart, AnUnreadableEntryCountsForTheConfiguredColdTime)
 {
     ColdStart cold;
     cold.setProfile (profile);
@@ -104,10 +104,10 @@
 {
     ColdProfile profile;
     ColdBounds bounds;
-    int most, unknown;
+    int maxStarts, assumedStarts;
 };
 
-TEST (ColdStart, TwoNodesInOneSecondStayUnderWhatMakesAnInstanceFallOver)
+TEST (ColdStart, TwoNodesInOneSecondStayWithinTheFailureThreshold)
 {
     const BoundCase cases[] = {
         { { Milliseconds (0), 13 }, { 1.5, 8 }, 0, 0 },
@@ -120,8 +120,8 @@
 
     for (const auto& wanted : cases)
     {
-        EXPECT_EQ (mostColdStarts (wanted.profile, wanted.bounds), wanted.most);
-        EXPECT_EQ (unknownColdStarts (wanted.profile, wanted.bounds), wanted.unknown);
+        EXPECT_EQ (mostColdStarts (wanted.profile, wanted.bounds), wanted.maxStarts);
+        EXPECT_EQ (unknownColdStarts (wanted.profile, wanted.bounds), wanted.assumedStarts);
     }
 }
 
