--- a/src/mesh/failure_share.cc
+++ b/src/mesh/failure_share.cc
@@ -9,8 +9,8 @@
 namespace
 {
 
-constexpr double learningRate = 0.15; // Some seven runs tell.
-constexpr double halfLifeMs = 2000;   // Faults of instances last some seconds.
+constexpr double learningRate = 0.15; // About the last seven runs dominate the share.
+constexpr double halfLifeMs = 2000;   // Instance faults last for some seconds.
 
 } // namespace
 
--- a/src/mesh/failure_share.h
+++ b/src/mesh/failure_share.h
@@ -1,6 +1,6 @@
-/** The share of an instance's latest runs that failed: their answers were lost or broken, or were
-    failures of its own. An instance that fails at once looks free, and would draw all requests.
-    Deciding code without I/O.
+/** The share of an instance's recent runs that failed: the answer was lost or malformed, or
+    reported a failure of the instance itself. An instance that fails immediately looks free and
+    would attract all requests. This is decision logic without I/O.
 */
 #pragma once
 
@@ -13,10 +13,12 @@
 class FailureShare
 {
 public:
-    /** A run ended. */
+    /** Records the end of a run. */
     void observe (Timestamp now, bool failed);
 
-    /** 0 to 1; falls with time, so that an instance that is left alone is tried again. */
+    /** The share, from 0 to 1. It decays with time, so that an instance without requests is tried
+        again.
+    */
     double at (Timestamp now) const;
 
 private:
--- a/src/mesh/latency_histogram.h
+++ b/src/mesh/latency_histogram.h
@@ -1,4 +1,4 @@
-/** Counts of latencies in fixed buckets, as metrics show them. */
+/** Counts latencies in fixed buckets, as exported in metrics. */
 #pragma once
 
 #include <array>
@@ -11,7 +11,7 @@
 class LatencyHistogram
 {
 public:
-    /** Upper bounds of the buckets, in milliseconds; one more bucket holds what is longer. */
+    /** Upper bounds of the buckets, in milliseconds; one more bucket holds longer ones. */
     static constexpr std::array<double, 12> bounds{ 1,   2,   5,   10,   20,   50,
                                                     100, 200, 500, 1000, 2000, 5000 };
 
--- a/src/mesh/link_schedule.cc
+++ b/src/mesh/link_schedule.cc
@@ -9,23 +9,24 @@
 namespace
 {
 
-constexpr double usableShare = 0.95; // Of the link: the rest is for headers and datagrams.
-constexpr double pieceMs = 10;       // The most that something small waits behind a piece.
-constexpr std::size_t leastPiece = 4096;
-// A transfer goes ahead of one that is that many times its own length older.
-constexpr double patience = 4;
+constexpr double usableShare = 0.95; // The rest of the link is for headers and datagrams.
+constexpr double pieceMs = 10;       // Limits how long a small message waits behind a piece.
+constexpr std::size_t minPieceBytes = 4096;
+// A transfer is due after this multiple of its transmission time. A short transfer thus overtakes a
+// long one unless the long one is older by this multiple of the difference.
+constexpr double dueFactor = 4;
 
 } // namespace
 
 LinkSchedule::LinkSchedule (double linkBytesPerMs)
     : bytesPerMs (usableShare * linkBytesPerMs)
-    , pieceBytes (std::max (static_cast<std::size_t> (bytesPerMs * pieceMs), leastPiece))
+    , pieceBytes (std::max (static_cast<std::size_t> (bytesPerMs * pieceMs), minPieceBytes))
 {
 }
 
 LinkSchedule::Id LinkSchedule::add (Timestamp now, std::size_t bytes)
 {
-    const auto length = fromMilliseconds (patience * msOf (static_cast<double> (bytes)));
+    const auto length = fromMilliseconds (dueFactor * msOf (static_cast<double> (bytes)));
     transfers[++lastId] = { now + length, bytes, false };
     return lastId;
 }
@@ -76,7 +77,7 @@
 
 double LinkSchedule::expectedMs (Timestamp now, double bytes) const
 {
-    const auto due = now + fromMilliseconds (patience * msOf (bytes));
+    const auto due = now + fromMilliseconds (dueFactor * msOf (bytes));
     double ahead = bytes;
 
     for (const auto& [id, transfer] : transfers)
--- a/src/mesh/link_schedule.h
+++ b/src/mesh/link_schedule.h
@@ -1,13 +1,14 @@
-/** Shares a node's link among the large answers that it sends. Deciding code without I/O.
+/** Schedules the large answers that a node sends over its link. This is decision logic without I/O.
 
-    Load pattern: answers of some 100 KB over a link of 10 Mbit/s, at 0.8 of what it carries, beside
-    small answers, calls and datagrams with targets of 150 ms. Written as they come, the large ones
-    fill the link's queue for 0.1 to 0.4 s, and everything small waits behind them or is lost.
+    The load pattern is answers of about 100 KB over a link of 10 Mbit/s, at 0.8 of its capacity,
+    together with small answers, calls and datagrams with targets of 150 ms. If the large answers
+    were written as they come, they would fill the link's queue for 0.1 to 0.4 s, and all small
+    messages would wait behind them or be lost.
 
-    So large answers are written in pieces, no faster than the link carries them, and one after the
-    other: what is small goes at once and finds the link's queue nearly empty, and of several large
-    ones each is through sooner than if they shared the link. An answer's turn comes by its age and
-    its size: short ones overtake long ones, and nobody starves.
+    Large answers are therefore written in pieces, no faster than the link transmits them, and one
+    after the other. Small messages are sent at once and find the link's queue nearly empty, and
+    several large answers are finished sooner on average than if they shared the link. The order
+    depends on age and size: short answers overtake long ones, and none starves.
 */
 #pragma once
 
@@ -21,10 +22,10 @@
 namespace copperlead::mesh
 {
 
-/** What a link of 1 Mbit/s carries in a millisecond. */
+/** Number of bytes that a link of 1 Mbit/s transmits in a millisecond. */
 inline constexpr double bytesPerMsOfMbps = 1e6 / 8 / 1000;
 
-/** Answers of that many bytes take turns; smaller ones are written at once. */
+/** Answers of at least this size are scheduled; smaller ones are written at once. */
 inline constexpr std::size_t largeAnswerBytes = 16'384;
 
 /** Not thread-safe. */
@@ -38,25 +39,25 @@
     Id add (Timestamp now, std::size_t bytes);
     void remove (Id id);
 
-    /** Its receiver takes nothing at present, or does again: others go first meanwhile. */
+    /** Sets whether a transfer's receiver accepts no data at present; it is skipped meanwhile. */
     void setStalled (Id id, bool stalled);
 
-    /** How many bytes of a transfer may be written now; 0: it isn't its turn. */
+    /** The number of bytes of a transfer that may be written now; 0 if it isn't its turn. */
     std::size_t allowance (Timestamp now, Id id) const;
 
-    /** Something was written to the link. */
+    /** Records bytes written to the link outside of any transfer. */
     void wrote (Timestamp now, std::size_t bytes);
 
-    /** So much of a transfer was written. */
+    /** Records bytes of a transfer that were written. */
     void wrote (Timestamp now, Id id, std::size_t bytes);
 
-    /** @returns the transfer whose turn it is, if the link is free for a further piece */
+    /** @returns the transfer whose turn it is, if the link is free for another piece */
     std::optional<Id> next (Timestamp now) const;
 
-    /** When next() may return a transfer; the largest time when none waits for its turn. */
+    /** The earliest time at which next() may return a transfer; the largest time if none waits. */
     Timestamp nextDue() const;
 
-    /** Until a further large answer would be through. */
+    /** The expected time until an additional large answer would be transmitted. */
     double expectedMs (Timestamp now, double bytes) const;
 
     std::size_t waiting() const { return transfers.size(); }
@@ -64,7 +65,7 @@
 private:
     struct Transfer
     {
-        Timestamp due{}; /**< Its place among the others. */
+        Timestamp due{}; /**< Determines the order; the earliest goes first. */
         std::size_t left = 0;
         bool stalled = false;
     };
@@ -74,7 +75,7 @@
 
     double bytesPerMs;
     std::size_t pieceBytes;
-    Timestamp freeAt{}; /**< When all that was written is through. */
+    Timestamp freeAt{}; /**< When everything written so far is transmitted. */
     std::map<Id, Transfer> transfers;
     Id lastId = 0;
 };
--- a/src/mesh/recent_answers.cc
+++ b/src/mesh/recent_answers.cc
@@ -7,12 +7,13 @@
 
 void RecentAnswers::advance (Timestamp now)
 {
-    if (now - begunAt < generationTime)
+    if (now - generationStart < generationTime)
         return;
 
-    former = now - begunAt < 2 * generationTime ? std::move (current) : std::set<RequestDigest>();
+    previous = now - generationStart < 2 * generationTime ? std::move (current)
+                                                          : std::set<RequestDigest>();
     current.clear();
-    begunAt = now;
+    generationStart = now;
 }
 
 void RecentAnswers::observe (Timestamp now, const RequestDigest& request)
@@ -26,7 +27,7 @@
 bool RecentAnswers::contains (Timestamp now, const RequestDigest& request)
 {
     advance (now);
-    return current.contains (request) || former.contains (request);
+    return current.contains (request) || previous.contains (request);
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/recent_answers.h
+++ b/src/mesh/recent_answers.h
@@ -1,6 +1,6 @@
-/** Which requests instances have answered lately. One that was answered doesn't crash every
-   instance that runs it, so the popular ones that ran in crashes by chance are told from the
-   culprit at once. Deciding code without I/O.
+/** Remembers which requests instances have answered recently. A request that was answered doesn't
+    crash every instance that runs it. This immediately separates frequent requests that happened to
+    run during a crash from the one that caused it. This is decision logic without I/O.
 */
 #pragma once
 
@@ -16,10 +16,10 @@
 class RecentAnswers
 {
 public:
-    /** An answer is remembered for one to two of these. */
+    /** An answer is remembered for one to two times this long. */
     static constexpr Milliseconds generationTime{ 10'000 };
 
-    /** Of one generation; what comes beyond isn't remembered. 4,096 take some 250 KB. */
+    /** Limit for one generation; further answers aren't remembered. 4,096 take about 250 KB. */
     static constexpr std::size_t mostRemembered = 4096;
 
     void observe (Timestamp now, const RequestDigest& request);
@@ -28,8 +28,8 @@
 private:
     void advance (Timestamp now);
 
-    std::set<RequestDigest> current, former;
-    Timestamp begunAt{};
+    std::set<RequestDigest> current, previous;
+    Timestamp generationStart{};
 };
 
 } // namespace copperlead::mesh
--- a/src/mesh/recent_share.h
+++ b/src/mesh/recent_share.h
@@ -1,5 +1,5 @@
-/** A share that is learned by counting, of which the past counts less and less. Deciding code
-    without I/O.
+/** A share that is estimated by counting, in which older counts have less and less weight. This is
+    decision logic without I/O.
 */
 #pragma once
 
@@ -12,30 +12,31 @@
 class RecentShare
 {
 public:
-    /** @param part   of it, that counts for the share
-        @param whole  to what the share is taken
+    /** Adds an observation.
+        @param part   the portion of `whole` that counts towards the share
+        @param whole  the amount that the share relates to
     */
     void add (double part, double whole)
     {
         counted += part;
         total += whole;
 
-        if (total <= mostRemembered)
+        if (total <= maxTotal)
             return;
 
         counted /= 2;
         total /= 2;
     }
 
-    /** Nothing while too little is known. */
+    /** The share, or nothing until enough has been counted. */
     std::optional<double> value() const
     {
-        return total < leastToBelieve ? std::nullopt : std::optional (counted / total);
+        return total < minTotal ? std::nullopt : std::optional (counted / total);
     }
 
 private:
-    static constexpr double leastToBelieve = 4;
-    static constexpr double mostRemembered = 128; // What came before them counts for half.
+    static constexpr double minTotal = 4;
+    static constexpr double maxTotal = 128; // Above this total all earlier counts are halved.
 
     double counted = 0, total = 0;
 };
--- a/tests/mesh/failure_share_test.cc
+++ b/tests/mesh/failure_share_test.cc
@@ -9,7 +9,7 @@
 namespace
 {
 
-TEST (FailureShare, FollowsTheLatestRuns)
+TEST (FailureShare, FollowsTheRecentRuns)
 {
     FailureShare share;
     EXPECT_EQ (share.at (at (0)), 0);
--- a/tests/mesh/link_schedule_test.cc
+++ b/tests/mesh/link_schedule_test.cc
@@ -13,9 +13,9 @@
 namespace
 {
 
-constexpr double bytesPerMs = 1250; // 10 Mbit/s.
+constexpr double bytesPerMs = 1250; // This is 10 Mbit/s.
 
-TEST (LinkSchedule, APieceAtATimeAndNoFasterThanTheLink)
+TEST (LinkSchedule, WritesPiecesNoFasterThanTheLink)
 {
     LinkSchedule schedule (bytesPerMs);
     const auto id = schedule.add (at (0), 100'000);
@@ -27,7 +27,7 @@
     EXPECT_GT (schedule.allowance (at (10), id), 0U);
 }
 
-TEST (LinkSchedule, OneAfterTheOtherShortOnesFirst)
+TEST (LinkSchedule, ShortAnswersGoFirst)
 {
     LinkSchedule schedule (bytesPerMs);
     const auto large = schedule.add (at (0), 400'000), small = schedule.add (at (1), 40'000);
@@ -37,7 +37,7 @@
     EXPECT_EQ (schedule.next (at (1)), large);
 }
 
-TEST (LinkSchedule, ALongOneIsNotPutOffForever)
+TEST (LinkSchedule, ALongAnswerIsNotStarved)
 {
     LinkSchedule schedule (bytesPerMs);
     const auto large = schedule.add (at (0), 400'000);
@@ -45,7 +45,7 @@
     EXPECT_EQ (schedule.next (at (3000)), large);
 }
 
-TEST (LinkSchedule, AReceiverThatTakesNothingHoldsUpNobody)
+TEST (LinkSchedule, AStalledReceiverDoesNotBlockOthers)
 {
     LinkSchedule schedule (bytesPerMs);
     const auto first = schedule.add (at (0), 50'000), second = schedule.add (at (1), 50'000);
@@ -58,7 +58,7 @@
     EXPECT_EQ (schedule.nextDue(), Timestamp::max());
 }
 
-TEST (LinkSchedule, SmallAnswersTakeTheLinkToo)
+TEST (LinkSchedule, SmallAnswersOccupyTheLinkToo)
 {
     LinkSchedule schedule (bytesPerMs);
     const auto id = schedule.add (at (0), 50'000);
@@ -67,30 +67,32 @@
     EXPECT_GT (schedule.allowance (at (8), id), 0U);
 }
 
-TEST (LinkSchedule, ForecastsWhenAnotherOneWouldBeThrough)
+TEST (LinkSchedule, ForecastsTheTransmissionOfAnotherAnswer)
 {
     LinkSchedule schedule (bytesPerMs);
     EXPECT_NEAR (schedule.expectedMs (at (0), 118'750), 100, 1);
     schedule.add (at (0), 118'750);
     EXPECT_NEAR (schedule.expectedMs (at (0), 118'750), 200, 1);
-    EXPECT_NEAR (schedule.expectedMs (at (0), 11'875), 10, 1) << "goes ahead of it";
+    EXPECT_NEAR (schedule.expectedMs (at (0), 11'875), 10, 1) << "it overtakes the long one";
 }
 
-/** What a link carries in its order; `wait` is how long a small message waits behind it. */
-struct Play
+/** The delays in a simulation of the link. */
+struct SimulationResult
 {
-    double meanMs = 0;      /**< Of large answers, until they are through. */
-    double worstWaitMs = 0; /**< Of a small message that comes at any moment. */
+    double meanMs = 0;      /**< Mean time until a large answer is transmitted. */
+    double worstWaitMs = 0; /**< Longest time that a small message can wait in the link's queue. */
 };
 
-/** Thirteen answers of 80 KB a second over 10 Mbit/s, 0.85 of what it carries, for twenty seconds.
- */
-Play play (bool inTurns)
+/** Simulates 13 answers of 80 KB per second over a link of 10 Mbit/s, at 0.85 of its capacity, for
+    20 seconds.
+    @param scheduled  false: answers are written at once, as they come
+*/
+SimulationResult simulate (bool scheduled)
 {
     struct Answer
     {
         LinkSchedule::Id id;
-        Timestamp begunAt;
+        Timestamp startedAt;
         double left;
     };
 
@@ -98,7 +100,7 @@
     std::mt19937_64 random (3);
     std::bernoulli_distribution comes (0.013);
     std::vector<Answer> open;
-    Play result;
+    SimulationResult result;
     double queued = 0, doneMs = 0;
     int done = 0;
 
@@ -109,8 +111,8 @@
 
         for (auto& answer : open)
         {
-            const auto most = inTurns ? schedule.allowance (at (ms), answer.id) : answer.left;
-            const auto bytes = std::min (answer.left, static_cast<double> (most));
+            const auto allowed = scheduled ? schedule.allowance (at (ms), answer.id) : answer.left;
+            const auto bytes = std::min (answer.left, static_cast<double> (allowed));
             answer.left -= bytes;
             queued += bytes;
             schedule.wrote (at (ms), answer.id, static_cast<std::size_t> (bytes));
@@ -125,7 +127,7 @@
 
                            schedule.remove (answer.id);
                            doneMs +=
-                               toMilliseconds (at (ms) - answer.begunAt) + queued / bytesPerMs;
+                               toMilliseconds (at (ms) - answer.startedAt) + queued / bytesPerMs;
                            ++done;
                            return true;
                        });
@@ -136,12 +138,12 @@
     return result;
 }
 
-TEST (LinkSchedule, SmallMessagesFindTheLinkNearlyFreeUnderLargeAnswers)
+TEST (LinkSchedule, SmallMessagesWaitOnlyBrieflyBehindLargeAnswers)
 {
-    const auto asTheyCome = play (false), inTurns = play (true);
-    EXPECT_GT (asTheyCome.worstWaitMs, 300);
-    EXPECT_LT (inTurns.worstWaitMs, 12);
-    EXPECT_LT (inTurns.meanMs, 3 * asTheyCome.meanMs);
+    const auto unscheduled = simulate (false), scheduled = simulate (true);
+    EXPECT_GT (unscheduled.worstWaitMs, 300);
+    EXPECT_LT (scheduled.worstWaitMs, 12);
+    EXPECT_LT (scheduled.meanMs, 3 * unscheduled.meanMs);
 }
 
 } // namespace
--- a/tests/mesh/recent_answers_test.cc
+++ b/tests/mesh/recent_answers_test.cc
@@ -23,7 +23,7 @@
     EXPECT_TRUE (answers.contains (at (20'000), second));
 }
 
-TEST (RecentAnswers, AfterALongRestNothingIsRemembered)
+TEST (RecentAnswers, NothingIsRememberedAfterALongIdleTime)
 {
     RecentAnswers answers;
     answers.observe (at (0), first);
