--- a/src/sidecar/http/body_decoder.cc
+++ b/src/sidecar/http/body_decoder.cc
@@ -8,18 +8,18 @@
 namespace
 {
 
-constexpr std::size_t longestLine = 4096;
-constexpr std::size_t mostTrailerBytes = 16384;
-constexpr std::size_t mostSizeDigits = 15;
+constexpr std::size_t maxLineBytes = 4096;
+constexpr std::size_t maxTrailerBytes = 16384;
+constexpr std::size_t maxSizeDigits = 15;
 constexpr int hexadecimal = 16;
 
-/** Reads the size before a chunk's data; extensions are passed over. */
+/** Parses the size in front of a chunk's data; chunk extensions are ignored. */
 bool parseChunkSize (std::string_view line, std::uint64_t& size)
 {
     const auto digits = line.substr (0, line.find_first_of ("; \t"));
     const auto* const end = digits.data() + digits.size();
 
-    if (digits.empty() || digits.size() > mostSizeDigits)
+    if (digits.empty() || digits.size() > maxSizeDigits)
         return false;
 
     const auto [stop, code] = std::from_chars (digits.data(), end, size, hexadecimal);
@@ -38,24 +38,24 @@
         break;
     case BodyKind::kLength:
         state = State::data;
-        left = framing.length;
+        remaining = framing.length;
         break;
     case BodyKind::kChunked:
         state = State::chunkSize;
         break;
     case BodyKind::kUntilClose:
-        state = State::untilEnd;
+        state = State::untilClose;
         break;
     }
 }
 
-bool BodyDecoder::takeLine (std::string_view& bytes, std::string_view& line)
+bool BodyDecoder::readLine (std::string_view& bytes, std::string_view& line)
 {
     const auto end = bytes.find ("\r\n");
 
     if (end == std::string_view::npos)
     {
-        if (bytes.size() > longestLine)
+        if (bytes.size() > maxLineBytes)
             state = State::malformed;
 
         return false;
@@ -66,12 +66,12 @@
     return true;
 }
 
-void BodyDecoder::takeChunkSize (std::string_view line)
+void BodyDecoder::readChunkSize (std::string_view line)
 {
-    if (! parseChunkSize (line, left))
+    if (! parseChunkSize (line, remaining))
         state = State::malformed;
     else
-        state = left == 0 ? State::trailer : State::data;
+        state = remaining == 0 ? State::trailer : State::data;
 }
 
 std::size_t BodyDecoder::feed (std::string_view bytes, std::string& body)
@@ -82,30 +82,30 @@
     {
         std::string_view line;
 
-        if (state == State::data || state == State::untilEnd)
+        if (state == State::data || state == State::untilClose)
         {
-            const auto wanted = state == State::untilEnd
+            const auto wanted = state == State::untilClose
                                     ? bytes.size()
-                                    : std::min<std::uint64_t> (left, bytes.size());
+                                    : std::min<std::uint64_t> (remaining, bytes.size());
             body.append (bytes.substr (0, wanted));
             bytes.remove_prefix (wanted);
 
-            if (state == State::data && (left -= wanted) == 0)
+            if (state == State::data && (remaining -= wanted) == 0)
                 state = chunked ? State::chunkEnd : State::complete;
 
             continue;
         }
 
-        if (! takeLine (bytes, line))
+        if (! readLine (bytes, line))
             break;
 
         if (state == State::chunkSize)
-            takeChunkSize (line);
+            readChunkSize (line);
         else if (state == State::chunkEnd)
             state = line.empty() ? State::chunkSize : State::malformed;
         else if (line.empty())
             state = State::complete;
-        else if ((trailerBytes += line.size()) > mostTrailerBytes)
+        else if ((trailerBytes += line.size()) > maxTrailerBytes)
             state = State::malformed;
     }
 
@@ -114,7 +114,7 @@
 
 bool BodyDecoder::endOfStream()
 {
-    if (state == State::untilEnd)
+    if (state == State::untilClose)
         state = State::complete;
 
     return complete();
--- a/src/sidecar/http/body_decoder.h
+++ b/src/sidecar/http/body_decoder.h
@@ -1,4 +1,4 @@
-/** Takes a message body out of the bytes behind its head, as its framing says. No I/O. */
+/** Decodes the body of an HTTP/1.1 message according to its framing. Performs no I/O. */
 #pragma once
 
 #include <cstdint>
@@ -10,42 +10,44 @@
 namespace copperlead::sidecar
 {
 
-/** Not thread-safe. Trailers are read and dropped. */
+/** Not thread-safe. Trailer fields are read and discarded. */
 class BodyDecoder
 {
 public:
     explicit BodyDecoder (BodyFraming framing);
 
-    /** Takes what it can from the front of `bytes`.
-        @returns how many bytes it took; fewer than all at the body's end, or while an element of
-                 chunked framing is incomplete
+    /** Decodes as much as possible from the front of `bytes` and appends it to `body`.
+        @returns the number of bytes consumed; fewer than all at the end of the body, or while an
+                 element of the chunked framing is incomplete
     */
     std::size_t feed (std::string_view bytes, std::string& body);
 
     bool complete() const { return state == State::complete; }
     bool malformed() const { return state == State::malformed; }
 
-    /** The connection ended: completes a body that ends with it. @returns complete() */
+    /** Reports that the connection has ended, which completes a body that is delimited by it.
+        @returns complete()
+    */
     bool endOfStream();
 
 private:
     enum class State : std::uint8_t
     {
-        data, /**< `left` bytes of the body or the chunk are to come. */
-        untilEnd,
-        chunkSize, /**< A line with a chunk's size is next. */
-        chunkEnd,  /**< The line end after a chunk's data is next. */
+        data,       /**< `remaining` bytes of the body or the chunk are still expected. */
+        untilClose, /**< The body extends to the end of the connection. */
+        chunkSize,  /**< The line with the size of a chunk is next. */
+        chunkEnd,   /**< The line break after the data of a chunk is next. */
         trailer,
         complete,
         malformed
     };
 
-    bool takeLine (std::string_view& bytes, std::string_view& line);
-    void takeChunkSize (std::string_view line);
+    bool readLine (std::string_view& bytes, std::string_view& line);
+    void readChunkSize (std::string_view line);
 
     State state;
     bool chunked;
-    std::uint64_t left = 0;
+    std::uint64_t remaining = 0;
     std::size_t trailerBytes = 0;
 };
 
--- a/tests/sidecar/http/body_decoder_test.cc
+++ b/tests/sidecar/http/body_decoder_test.cc
@@ -9,18 +9,18 @@
 
 struct Case
 {
-    const char* what;
+    const char* description;
     BodyFraming framing;
     const char* bytes;
     const char* body;
-    std::size_t taken;
+    std::size_t consumed;
     bool complete, malformed;
 };
 
 const Case cases[] = {
     { "none", { BodyKind::kNone, 0 }, "next", "", 0, true, false },
     { "length", { BodyKind::kLength, 4 }, "bodynext", "body", 4, true, false },
-    { "length, cut", { BodyKind::kLength, 9 }, "body", "body", 4, false, false },
+    { "length, truncated", { BodyKind::kLength, 9 }, "body", "body", 4, false, false },
     { "chunks",
       { BodyKind::kChunked, 0 },
       "3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\nnext",
@@ -29,7 +29,7 @@
       true,
       false },
     { "trailers", { BodyKind::kChunked, 0 }, "1\r\na\r\n0\r\nT: x\r\n\r\n", "a", 17, true, false },
-    { "chunk, cut", { BodyKind::kChunked, 0 }, "5\r\nab", "ab", 5, false, false },
+    { "chunk, truncated", { BodyKind::kChunked, 0 }, "5\r\nab", "ab", 5, false, false },
     { "no size", { BodyKind::kChunked, 0 }, "\r\n", "", 2, false, true },
     { "bad size", { BodyKind::kChunked, 0 }, "xyz\r\n", "", 5, false, true },
     { "signed size", { BodyKind::kChunked, 0 }, "-1\r\n", "", 4, false, true },
@@ -40,40 +40,40 @@
 
 TEST (BodyDecoder, WholeAndByteByByte)
 {
-    for (const auto& wanted : cases)
+    for (const auto& expected : cases)
     {
-        const std::string_view bytes = wanted.bytes;
+        const std::string_view bytes = expected.bytes;
         std::string body;
-        BodyDecoder whole (wanted.framing);
-        EXPECT_EQ (whole.feed (bytes, body), wanted.taken) << wanted.what;
-        EXPECT_EQ (body, wanted.body) << wanted.what;
-        EXPECT_EQ (whole.complete(), wanted.complete) << wanted.what;
-        EXPECT_EQ (whole.malformed(), wanted.malformed) << wanted.what;
+        BodyDecoder whole (expected.framing);
+        EXPECT_EQ (whole.feed (bytes, body), expected.consumed) << expected.description;
+        EXPECT_EQ (body, expected.body) << expected.description;
+        EXPECT_EQ (whole.complete(), expected.complete) << expected.description;
+        EXPECT_EQ (whole.malformed(), expected.malformed) << expected.description;
 
-        BodyDecoder slow (wanted.framing);
-        std::string slowBody, buffer;
+        BodyDecoder incremental (expected.framing);
+        std::string incrementalBody, buffer;
 
         for (const char byte : bytes)
         {
             buffer += byte;
-            buffer.erase (0, slow.feed (buffer, slowBody));
+            buffer.erase (0, incremental.feed (buffer, incrementalBody));
         }
 
-        EXPECT_EQ (slowBody, wanted.body) << wanted.what;
-        EXPECT_EQ (slow.complete(), wanted.complete) << wanted.what;
-        EXPECT_EQ (slow.malformed(), wanted.malformed) << wanted.what;
+        EXPECT_EQ (incrementalBody, expected.body) << expected.description;
+        EXPECT_EQ (incremental.complete(), expected.complete) << expected.description;
+        EXPECT_EQ (incremental.malformed(), expected.malformed) << expected.description;
     }
 }
 
-TEST (BodyDecoder, OnlyABodyWithoutLengthIsCompletedByTheEnd)
+TEST (BodyDecoder, OnlyABodyWithoutLengthIsCompletedByTheEndOfTheStream)
 {
     std::string body;
-    BodyDecoder open ({ BodyKind::kUntilClose, 0 });
-    open.feed ("all", body);
-    EXPECT_TRUE (open.endOfStream());
-    BodyDecoder cut ({ BodyKind::kLength, 9 });
-    cut.feed ("all", body);
-    EXPECT_FALSE (cut.endOfStream());
+    BodyDecoder untilClose ({ BodyKind::kUntilClose, 0 });
+    untilClose.feed ("all", body);
+    EXPECT_TRUE (untilClose.endOfStream());
+    BodyDecoder truncated ({ BodyKind::kLength, 9 });
+    truncated.feed ("all", body);
+    EXPECT_FALSE (truncated.endOfStream());
 }
 
 } // namespace
