--- a/src/sidecar/http/client_connection.cc
+++ b/src/sidecar/http/client_connection.cc
@@ -43,7 +43,7 @@
 
     setDeadPeerDetection (socket, client->settings.unacknowledged);
     interest = EPOLLOUT;
-    connectBy = now() + client->settings.connectTimeout;
+    connectDeadline = now() + client->settings.connectTimeout;
     watch = client->reactor->Watch (socket, interest,
                                     [weak = weak_from_this()] (std::uint32_t events)
                                     {
@@ -55,24 +55,24 @@
 
 bool ClientConnection::usable (Timestamp at) const
 {
-    return state == State::idle && at < idleUntil;
+    return state == State::idle && at < idleDeadline;
 }
 
-void ClientConnection::begin (CallPointer newCall, std::string message,
-                              const CallOptions& newOptions)
+void ClientConnection::startCall (CallPointer newCall, std::string message,
+                                  const CallOptions& newOptions)
 {
     call = std::move (newCall);
     call->connection = weak_from_this();
     options = newOptions;
     output = std::move (message);
     written = 0;
-    sendable = options.headBytes == 0 ? output.size() : options.headBytes;
+    sendLimit = options.headBytes == 0 ? output.size() : options.headBytes;
     result = {};
     result.reused = usedBefore;
     usedBefore = true;
 
     if (state == State::connecting)
-        return armTimer (std::min (connectBy, options.deadline));
+        return armTimer (std::min (connectDeadline, options.deadline));
 
     state = State::waiting;
     armTimer (options.deadline);
@@ -101,7 +101,7 @@
         return finish (CallEnd::notConnected, std::strerror (error));
     }
 
-    const auto opened = now() - (connectBy - client->settings.connectTimeout);
+    const auto opened = now() - (connectDeadline - client->settings.connectTimeout);
     client->counts.connect.observe (mesh::toMilliseconds (opened));
     state = State::waiting;
     armTimer (options.deadline);
@@ -110,19 +110,20 @@
 
 void ClientConnection::write()
 {
-    while (written < sendable)
+    while (written < sendLimit)
     {
-        const auto count =
-            ::send (socket.descriptor(), output.data() + written, sendable - written, MSG_NOSIGNAL);
+        const auto count = ::send (socket.descriptor(), output.data() + written,
+                                   sendLimit - written, MSG_NOSIGNAL);
 
         if (count < 0 && (errno == EAGAIN || errno == EINTR))
             return setInterest (EPOLLIN | EPOLLOUT);
 
-        // What the server said before it closed may still be read: that comes with EPOLLIN.
+        // A response that the server sent before it closed may still be readable; EPOLLIN reports
+        // it.
         if (count < 0)
         {
-            written = sendable = output.size();
-            keepable = false;
+            written = sendLimit = output.size();
+            reusable = false;
             break;
         }
 
@@ -130,11 +131,11 @@
         written += static_cast<std::size_t> (count);
     }
 
-    if (sentAt == Timestamp{} || written == sendable)
+    if (sentAt == Timestamp{} || written == sendLimit)
         sentAt = now();
 
-    if (const auto told = std::exchange (options.onSent, nullptr))
-        told();
+    if (const auto callback = std::exchange (options.onSent, nullptr))
+        callback();
 
     setInterest (EPOLLIN);
 }
@@ -185,19 +186,19 @@
     switch (state)
     {
     case State::connecting:
-        if (at < std::min (connectBy, options.deadline))
-            return armTimer (std::min (connectBy, options.deadline));
-        return finish (CallEnd::notConnected, "no connection in time");
+        if (at < std::min (connectDeadline, options.deadline))
+            return armTimer (std::min (connectDeadline, options.deadline));
+        return finish (CallEnd::notConnected, "connecting timed out");
 
     case State::waiting:
     case State::body:
         if (at < options.deadline)
             return armTimer (options.deadline);
-        return finish (CallEnd::timedOut, "no whole answer in time");
+        return finish (CallEnd::timedOut, "timed out before the response was complete");
 
     case State::idle:
-        if (at < idleUntil)
-            return armTimer (idleUntil);
+        if (at < idleDeadline)
+            return armTimer (idleDeadline);
         return close();
 
     case State::closed:
--- a/src/sidecar/http/client_connection.h
+++ b/src/sidecar/http/client_connection.h
@@ -1,4 +1,4 @@
-/** One connection to a server, with at most one call on it. Internal to HttpClient. */
+/** One connection to a server, which carries at most one call at a time. Internal to HttpClient. */
 #pragma once
 
 #include <memory>
@@ -17,14 +17,18 @@
     ClientConnection (std::shared_ptr<HttpClient> owner, std::string targetName);
     ~ClientConnection();
 
-    /** @returns false when the system refuses at once */
+    /** Starts to connect. @returns false if that fails immediately */
     bool connect (const SocketAddress& address);
-    void begin (CallPointer newCall, std::string message, const CallOptions& newOptions);
+
+    /** Sends a request, once the connection is established if it isn't yet. */
+    void startCall (CallPointer newCall, std::string message, const CallOptions& newOptions);
+
+    /** Closes the connection and drops its call without a result. */
     void close();
 
-    /** True while nothing speaks against another call. */
+    /** @returns true if the connection is idle and may carry another call */
     bool usable (Timestamp now) const;
-    bool serves (const Call& other) const { return call.get() == &other; }
+    bool isServing (const Call& other) const { return call.get() == &other; }
     const std::string& target() const { return name; }
 
 private:
@@ -34,7 +38,7 @@
     {
         connecting,
         idle,
-        waiting, /**< For an answer's head. */
+        waiting, /**< Waiting for the head of a response. */
         body,
         closed
     };
@@ -44,13 +48,13 @@
     void write();
     void readAll();
     void advance();
-    bool takeHead();
-    void onAnswer();
-    bool holdsBodyBack() const { return sendable < output.size(); }
+    bool readHead();
+    void onResponseComplete();
+    bool isBodyWithheld() const { return sendLimit < output.size(); }
     void onEndOfStream (bool orderly);
     void finish (CallEnd end, std::string cause);
-    void finishKept();
-    void learnKeepAlive();
+    void finishAnswered();
+    void updateIdleDeadline();
     void armTimer (Timestamp when);
     void onTimer();
     void setInterest (std::uint32_t wanted);
@@ -66,12 +70,13 @@
     CallResult result;
     std::string input, output;
     std::size_t written = 0;
-    std::size_t sendable = 0; /**< Bytes of `output` that may be written so far. */
+    std::size_t sendLimit = 0; /**< Bytes of `output` that may be written so far. */
     std::optional<BodyDecoder> decoder;
-    bool foreign = false; /**< The answer that is being read belongs to another request. */
-    bool keepable = true;
+    bool answersOtherRequest = false; /**< True while the response to another request is read. */
+    bool reusable = true;             /**< False if the connection must close after its call. */
     bool usedBefore = false;
-    Timestamp connectBy = Timestamp::max(), idleUntil{}, timerAt = Timestamp::max(), sentAt{};
+    Timestamp connectDeadline = Timestamp::max(), idleDeadline{}, timerAt = Timestamp::max(),
+              sentAt{};
 };
 
 } // namespace copperlead::sidecar
--- a/src/sidecar/http/client_connection_answers.cc
+++ b/src/sidecar/http/client_connection_answers.cc
@@ -1,4 +1,4 @@
-/** How a connection to a server reads answers and ends its calls. */
+/** The part of ClientConnection that reads responses and ends calls. */
 #include <unistd.h>
 
 #include <algorithm>
@@ -15,11 +15,14 @@
 namespace
 {
 
-constexpr std::size_t readSize = 65536;
-constexpr std::size_t mostHeadBytes = 65536;
+constexpr std::size_t readBufferSize = 65536;
+constexpr std::size_t maxHeadBytes = 65536;
+/** An idle connection is closed this long before the keep-alive timeout that the server announced.
+ */
 constexpr Milliseconds keepAliveMargin{ 1200 };
+constexpr std::uint64_t maxKeepAliveSeconds = 3600;
 constexpr int continueStatus = 100;
-constexpr std::string_view keepAliveTimeout = "timeout=";
+constexpr std::string_view keepAliveTimeoutPrefix = "timeout=";
 
 Timestamp now() { return SteadyClock().Now(); }
 
@@ -27,7 +30,7 @@
 
 void ClientConnection::readAll()
 {
-    static thread_local std::array<char, readSize> buffer;
+    static thread_local std::array<char, readBufferSize> buffer;
 
     while (state != State::closed)
     {
@@ -39,7 +42,7 @@
         if (count <= 0)
             return onEndOfStream (count == 0);
 
-        // Bytes where no request waits belong to nobody.
+        // Data without an outstanding request can't be attributed to any call.
         if (state == State::idle)
             return close();
 
@@ -55,7 +58,7 @@
 {
     while (state == State::waiting || state == State::body)
     {
-        if (state == State::waiting && ! takeHead())
+        if (state == State::waiting && ! readHead())
             return;
 
         if (state != State::body)
@@ -63,24 +66,24 @@
 
         input.erase (0, decoder->feed (input, result.body));
 
-        if (decoder->malformed() || result.body.size() > client->settings.mostAnswerBytes)
-            return finish (CallEnd::broken, "malformed or oversized body");
+        if (decoder->malformed() || result.body.size() > client->settings.maxAnswerBytes)
+            return finish (CallEnd::broken, "response body malformed or too large");
 
         if (! decoder->complete())
             return;
 
-        onAnswer();
+        onResponseComplete();
     }
 }
 
-bool ClientConnection::takeHead()
+bool ClientConnection::readHead()
 {
     const auto end = FindHeadEnd (input);
 
     if (end == 0)
     {
-        if (input.size() > mostHeadBytes)
-            finish (CallEnd::broken, "oversized head");
+        if (input.size() > maxHeadBytes)
+            finish (CallEnd::broken, "response head too large");
 
         return false;
     }
@@ -99,16 +102,16 @@
 
     input.erase (0, end);
 
-    if (result.head.status == continueStatus && holdsBodyBack())
+    if (result.head.status == continueStatus && isBodyWithheld())
     {
-        sendable = output.size();
+        sendLimit = output.size();
         write();
     }
 
     if (result.head.status < 200)
         return state == State::waiting;
 
-    foreign = false;
+    answersOtherRequest = false;
 
     if (! options.id.empty())
     {
@@ -116,50 +119,52 @@
 
         if (ids.empty())
         {
-            finish (CallEnd::broken, "the answer carries no request id");
+            finish (CallEnd::broken, "response lacks the request id");
             return false;
         }
 
-        foreign = ids.size() != 1 || ids[0] != options.id;
+        answersOtherRequest = ids.size() != 1 || ids[0] != options.id;
     }
 
-    if (framing.kind == BodyKind::kUntilClose || foreign ||
+    if (framing.kind == BodyKind::kUntilClose || answersOtherRequest ||
         ListHolds (result.head.fields, "Connection", "close") || result.head.minor_version == 0)
-        keepable = false;
+        reusable = false;
 
-    learnKeepAlive();
+    updateIdleDeadline();
     decoder.emplace (framing);
     state = State::body;
     return true;
 }
 
-void ClientConnection::learnKeepAlive()
+void ClientConnection::updateIdleDeadline()
 {
-    idleUntil = now() + client->settings.idleTime;
+    idleDeadline = now() + client->settings.idleTime;
 
     for (const auto element : ListOf (result.head.fields, "Keep-Alive"))
     {
         std::uint64_t seconds = 0;
 
-        if (! element.starts_with (keepAliveTimeout) ||
-            ! ParseWholeNumber (element.substr (keepAliveTimeout.size()), seconds))
+        if (! element.starts_with (keepAliveTimeoutPrefix) ||
+            ! ParseWholeNumber (element.substr (keepAliveTimeoutPrefix.size()), seconds))
             continue;
 
-        const auto allowed = std::chrono::seconds (std::min<std::uint64_t> (seconds, 3600));
-        idleUntil = std::min (idleUntil, now() + allowed - keepAliveMargin);
+        const auto allowed =
+            std::chrono::seconds (std::min<std::uint64_t> (seconds, maxKeepAliveSeconds));
+        idleDeadline = std::min (idleDeadline, now() + allowed - keepAliveMargin);
     }
 }
 
-void ClientConnection::onAnswer()
+void ClientConnection::onResponseComplete()
 {
-    if (foreign)
+    if (answersOtherRequest)
     {
-        // Another request's answer came late, where this one's is due: pass over it.
+        // A late response to another request is skipped; the response to this one is still
+        // expected.
         state = State::waiting;
         return;
     }
 
-    finishKept();
+    finishAnswered();
 }
 
 void ClientConnection::onEndOfStream (bool orderly)
@@ -167,36 +172,36 @@
     if (state == State::idle || call == nullptr)
         return close();
 
-    if (state == State::body && orderly && ! foreign && decoder->endOfStream())
+    if (state == State::body && orderly && ! answersOtherRequest && decoder->endOfStream())
     {
-        keepable = false;
-        return finishKept();
+        reusable = false;
+        return finishAnswered();
     }
 
-    const bool began = state == State::body || ! input.empty();
-    finish (began ? CallEnd::broken : CallEnd::connectionLost,
-            orderly ? "the connection ended" : std::strerror (errno));
+    const bool responseStarted = state == State::body || ! input.empty();
+    finish (responseStarted ? CallEnd::broken : CallEnd::connectionLost,
+            orderly ? "connection closed before the response was complete" : std::strerror (errno));
 }
 
-void ClientConnection::finishKept()
+void ClientConnection::finishAnswered()
 {
     result.end = CallEnd::answered;
     result.took = now() - sentAt;
     const auto done = std::exchange (call, nullptr);
     auto answer = std::exchange (result, {});
     const auto self = shared_from_this();
-    // Bytes behind the answer belong to nobody, and a request cut short can't be followed by
-    // another.
-    const bool kept = keepable && input.empty() && written == sendable;
+    // The connection can't be reused if unattributable bytes follow the response, or if the request
+    // was not sent completely.
+    const bool keep = reusable && input.empty() && written == sendLimit;
     output.clear();
     written = 0;
     sentAt = {};
 
-    if (kept)
+    if (keep)
     {
         state = State::idle;
-        armTimer (idleUntil);
-        client->keep (self);
+        armTimer (idleDeadline);
+        client->returnToIdle (self);
     }
     else
     {
@@ -209,7 +214,7 @@
 
 void ClientConnection::finish (CallEnd end, std::string cause)
 {
-    result.end = holdsBodyBack() ? CallEnd::notConnected : end;
+    result.end = isBodyWithheld() ? CallEnd::notConnected : end;
     result.cause = std::move (cause);
     result.took = sentAt == Timestamp{} ? Duration{} : now() - sentAt;
     const auto done = std::exchange (call, nullptr);
--- a/src/sidecar/http/http_client.cc
+++ b/src/sidecar/http/http_client.cc
@@ -11,7 +11,7 @@
 {
     callback = nullptr;
 
-    if (const auto open = connection.lock(); open != nullptr && open->serves (*this))
+    if (const auto open = connection.lock(); open != nullptr && open->isServing (*this))
         open->close();
 }
 
@@ -44,14 +44,14 @@
         if (! connection->connect (target))
         {
             CallResult result;
-            result.cause = "no socket";
+            result.cause = "could not start to connect";
             std::exchange (call->callback, nullptr) (std::move (result));
             return call;
         }
     }
 
     busy.emplace (connection.get(), connection);
-    connection->begin (call, std::move (message), options);
+    connection->startCall (call, std::move (message), options);
     return call;
 }
 
@@ -59,10 +59,10 @@
 {
     const auto now = SteadyClock().Now();
 
-    // The list goes with its last connection, so it is looked up each time.
+    // A list is erased together with its last connection, so it is looked up in each iteration.
     for (auto found = idle.find (target); found != idle.end(); found = idle.find (target))
     {
-        // The one used last is the one least likely to be closed by the server meanwhile.
+        // The server is least likely to have closed the most recently used connection.
         auto connection = std::move (found->second.back());
         found->second.pop_back();
 
@@ -78,7 +78,7 @@
     return nullptr;
 }
 
-void HttpClient::keep (const std::shared_ptr<ClientConnection>& connection)
+void HttpClient::returnToIdle (const std::shared_ptr<ClientConnection>& connection)
 {
     busy.erase (connection.get());
     auto& list = idle[connection->target()];
--- a/src/sidecar/http/http_client.h
+++ b/src/sidecar/http/http_client.h
@@ -1,6 +1,6 @@
-/** Sends HTTP/1.1 requests whole and takes whole answers, over kept connections, on a reactor's
-    thread. Each call ends exactly once, by its callback or by cancel(). Everything here belongs to
-    the reactor's thread.
+/** An HTTP/1.1 client with persistent connections, which sends complete requests and reports
+    complete responses. Each call ends exactly once, by its callback or by cancel(). Everything here
+    must be used on the reactor's thread.
 */
 #pragma once
 
@@ -19,14 +19,14 @@
 namespace copperlead::sidecar
 {
 
-/** How far a call came. */
+/** How a call ended. */
 enum class CallEnd : std::uint8_t
 {
-    answered,       /**< A whole answer. */
-    notConnected,   /**< Nothing was sent, or only a head whose body was held back. */
-    connectionLost, /**< The connection ended before an answer began; the request may have run. */
-    broken,         /**< An answer that is malformed or was cut off. */
-    timedOut,       /**< No whole answer in time. */
+    answered,       /**< A complete response was received. */
+    notConnected,   /**< Nothing was sent, or only a head whose body was withheld. */
+    connectionLost, /**< The connection ended before a response began; the request may have run. */
+    broken,         /**< The response is malformed or truncated. */
+    timedOut,       /**< The deadline passed before the response was complete. */
 };
 
 inline constexpr std::string_view callEndNames[] = { "answered", "not_connected", "connection_lost",
@@ -37,11 +37,11 @@
     CallEnd end = CallEnd::notConnected;
     ResponseHead head;
     std::string body;
-    bool reused = false;  /**< Over a kept connection. */
-    bool sent = false;    /**< Something was written. */
-    bool refused = false; /**< Nothing listens at the target: not connected for that reason. */
-    Duration took{};      /**< Since the request was written. */
-    std::string cause;    /**< Of a failure, in words. */
+    bool reused = false;  /**< An existing connection was used. */
+    bool sent = false;    /**< At least one byte was written. */
+    bool refused = false; /**< Nothing listens at the target, so that the connection was refused. */
+    Duration took{};      /**< Time since the request was written. */
+    std::string cause;    /**< Description of a failure. */
 };
 
 struct CallOptions
@@ -49,17 +49,18 @@
     Timestamp deadline = Timestamp::max();
     bool isHead = false;
     bool freshConnection = false;
-    /** When not empty: answers whose field `idField` differs belong to another request and are
-        passed over; one that lacks it is broken.
+    /** The name of the header field that carries the request id, and the id that it must have. If
+        the id isn't empty, a response with another id belongs to another request and is skipped,
+        and one without the field is treated as broken.
     */
     std::string idField, id;
 
-    /** Told when the message, or its head if the body is held back, has been written. */
+    /** Called when the message, or its head if the body is withheld, has been written. */
     std::function<void()> onSent;
 
-    /** Bytes of the message after which the server is asked whether to go on; 0: none. The message
-        says so itself (Expect: 100-continue). A call that ends before has sent nothing that could
-        run.
+    /** Size of the head if the body is withheld until the server sends 100 Continue; 0 sends the
+        whole message at once. The message must carry "Expect: 100-continue" itself. A call that
+        ends while the body is withheld has sent nothing that could run.
     */
     std::size_t headBytes = 0;
 };
@@ -68,18 +69,18 @@
 {
     Milliseconds connectTimeout{ 300 };
     Milliseconds unacknowledged{ 600 };
-    Milliseconds idleTime{ 4000 }; /**< For which an unused connection is kept. */
-    std::size_t mostIdle = 64;     /**< For each target. */
-    std::size_t mostAnswerBytes = 16 << 20;
+    Milliseconds idleTime{ 4000 }; /**< Time for which an idle connection is kept. */
+    std::size_t mostIdle = 64;     /**< Maximum number of idle connections per target. */
+    std::size_t maxAnswerBytes = 16 << 20;
 };
 
 class ClientConnection;
 
-/** One call that is under way. */
+/** A call in progress. */
 class Call
 {
 public:
-    /** Ends the call without its callback, and its connection. */
+    /** Ends the call without calling its callback, and closes its connection. */
     void cancel();
 
 private:
@@ -91,11 +92,11 @@
 
 using CallPointer = std::shared_ptr<Call>;
 
-/** Counted since the start. */
+/** Counters since the start of the client. */
 struct ClientCounters
 {
     std::uint64_t connections = 0, calls = 0, reused = 0;
-    mesh::LatencyHistogram connect; /**< Until a connection is open. */
+    mesh::LatencyHistogram connect; /**< Time until a connection was established. */
 };
 
 class HttpClient : public std::enable_shared_from_this<HttpClient>
@@ -104,14 +105,16 @@
     HttpClient (std::shared_ptr<Reactor> reactorToUse, ClientSettings settingsToUse);
     ~HttpClient();
 
-    /** Sends a whole message. The callback may come before this returns. */
+    /** Sends a complete message. The callback may be called before this returns. */
     CallPointer send (const SocketAddress& target, std::string message, const CallOptions& options,
                       std::function<void (CallResult)> callback);
 
-    /** Closes the unused connections to a target. */
+    /** Closes the idle connections to a target. */
     void dropIdle (const SocketAddress& target);
 
-    /** To be called before the client is let go: it and its idle connections own each other. */
+    /** Closes all idle connections. This must be called before the client is released, since it and
+        its idle connections own each other.
+    */
     void dropAllIdle();
 
     const ClientCounters& counters() const { return counts; }
@@ -121,7 +124,7 @@
     using IdleList = std::vector<std::shared_ptr<ClientConnection>>;
 
     std::shared_ptr<ClientConnection> takeIdle (const std::string& target);
-    void keep (const std::shared_ptr<ClientConnection>& connection);
+    void returnToIdle (const std::shared_ptr<ClientConnection>& connection);
     void forget (const ClientConnection& connection);
 
     std::shared_ptr<Reactor> reactor;
