--- a/src/sidecar/http/messages.cc
+++ b/src/sidecar/http/messages.cc
@@ -9,6 +9,8 @@
 namespace
 {
 
+constexpr std::size_t estimatedHeadBytes = 512; // Avoids reallocation for typical messages.
+
 void append (std::string& message, std::string_view name, std::string_view value)
 {
     message.append (name).append (": ").append (value).append ("\r\n");
@@ -28,11 +30,11 @@
     std::erase_if (fields,
                    [&] (const HeaderField& field)
                    {
-                       const auto is = [&] (const std::string& name)
+                       const auto matches = [&] (const std::string& name)
                        { return EqualsIgnoringCase (field.name, name); };
-                       return is (names.deadline) || is (names.expectInstance) ||
-                              is (names.caller) || is (names.requestId) || is (names.credential) ||
-                              is (names.tenant);
+                       return matches (names.deadline) || matches (names.expectInstance) ||
+                              matches (names.caller) || matches (names.requestId) ||
+                              matches (names.credential) || matches (names.tenant);
                    });
     return fields;
 }
@@ -49,7 +51,7 @@
                             const HeaderFields& fields, std::string_view body)
 {
     std::string message;
-    message.reserve (512 + body.size());
+    message.reserve (estimatedHeadBytes + body.size());
     message.append (method).append (1, ' ').append (target).append (" HTTP/1.1\r\n");
     append (message, fields);
 
@@ -63,7 +65,7 @@
 std::string answerMessage (const AnswerParts& parts, const HeaderFields& fields)
 {
     std::string message;
-    message.reserve (512 + parts.body.size());
+    message.reserve (estimatedHeadBytes + parts.body.size());
     message.append ("HTTP/1.1 ").append (std::to_string (parts.status)).append (1, ' ');
     message.append (parts.reason.empty() ? reasonPhrase (parts.status) : parts.reason);
     message.append ("\r\n");
--- a/src/sidecar/http/messages.h
+++ b/src/sidecar/http/messages.h
@@ -1,4 +1,4 @@
-/** Builds the HTTP/1.1 messages that a node writes. No I/O. */
+/** Builds the HTTP/1.1 messages that a node sends. Performs no I/O. */
 #pragma once
 
 #include <string>
@@ -11,14 +11,17 @@
 namespace copperlead::sidecar
 {
 
-/** The fields of a client's request that go on to the instance: without those of one connection and
-    without those that the system sets itself, whatever the client sent.
+/** @returns the header fields of a client's request that are forwarded to the instance, without
+             hop-by-hop fields and without those that the system sets itself, even if the client
+             sent them
 */
 HeaderFields forwardedFields (const HeaderFields& received, const HeaderNames& names);
 
-/** The end-to-end fields of an answer, without its length, which answerMessage() writes. */
+/** @returns the end-to-end fields of a response except Content-Length, which answerMessage() adds
+ */
 HeaderFields forwardedAnswerFields (const HeaderFields& received);
 
+/** Builds a request. Content-Length is added unless a GET or HEAD request has no body. */
 std::string requestMessage (std::string_view method, std::string_view target,
                             const HeaderFields& fields, std::string_view body);
 
@@ -31,19 +34,21 @@
     bool isHead = false;
 };
 
-/** @param fields  end-to-end fields; the framing is added */
+/** Builds a response.
+    @param fields  the end-to-end fields; the framing is added
+*/
 std::string answerMessage (const AnswerParts& parts, const HeaderFields& fields);
 
-/** An answer of the node's own, in plain text. */
+/** Builds a plain-text response that this node generates itself. */
 std::string ownAnswer (int status, std::string_view cause, const HeaderFields& fields, bool close,
                        bool isHead);
 
-/** The same without further fields; its connection closes. */
+/** Builds such a response without further fields, after which the connection closes. */
 std::string plainAnswer (int status, std::string_view cause);
 
 std::string_view reasonPhrase (int status);
 
-/** @returns the value of the only field of that name; empty when there is none or several */
+/** @returns the value of the only field with that name; empty if there are none or several */
 std::string_view onlyValue (const HeaderFields& fields, std::string_view name);
 
 } // namespace copperlead::sidecar
--- a/src/sidecar/http/sockets.cc
+++ b/src/sidecar/http/sockets.cc
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr int backlog = 512;
+constexpr int listenBacklog = 512;
 constexpr int keepAliveSeconds = 1, keepAliveProbes = 2;
 
 void setOption (const Socket& socket, int level, int name, int value)
@@ -18,7 +18,7 @@
     setsockopt (socket.descriptor(), level, name, &value, sizeof (value));
 }
 
-/** @returns a bound socket of the type; kBadAddress or kAddressInUse naming the address */
+/** @returns a bound socket of the type, or kBadAddress or kAddressInUse with the address */
 Result<Socket> bindOn (const SocketAddress& address, int type)
 {
     const auto native = ToNative (address);
@@ -45,7 +45,7 @@
 {
     BOOST_LEAF_AUTO (made, bindOn (address, SOCK_STREAM));
 
-    if (::listen (made.descriptor(), backlog) != 0)
+    if (::listen (made.descriptor(), listenBacklog) != 0)
         return Fail (ErrorKind::kAddressInUse, ToString (address), std::strerror (errno));
 
     return made;
--- a/src/sidecar/http/sockets.h
+++ b/src/sidecar/http/sockets.h
@@ -1,4 +1,4 @@
-/** The few socket calls of the HTTP client and server. */
+/** Socket functions of the HTTP client and server. */
 #pragma once
 
 #include "base/address.h"
@@ -9,16 +9,17 @@
 namespace copperlead::sidecar
 {
 
-/** @returns a listening socket; kBadAddress or kAddressInUse naming the address */
+/** @returns a listening TCP socket, or kBadAddress or kAddressInUse with the address */
 Result<Socket> listenOn (const SocketAddress& address);
 
-/** @returns a bound UDP socket; kBadAddress or kAddressInUse naming the address */
+/** @returns a bound UDP socket, or kBadAddress or kAddressInUse with the address */
 Result<Socket> bindDatagram (const SocketAddress& address);
 
+/** Disables Nagle's algorithm (TCP_NODELAY). */
 void setNoDelay (const Socket& socket);
 
-/** Lets the connection fail when what was sent isn't acknowledged in time, or when a peer that
-    should still be there no longer answers keep-alive probes.
+/** Makes the connection fail if sent data isn't acknowledged within the given time, or if the peer
+    doesn't answer TCP keep-alive probes.
 */
 void setDeadPeerDetection (const Socket& socket, Milliseconds unacknowledged);
 
