--- a/src/sidecar/http/answer_queue.cc
+++ b/src/sidecar/http/answer_queue.cc
@@ -8,13 +8,13 @@
 
 void AnswerQueue::add (const ExchangePointer& exchange)
 {
-    auto& added = open.emplace_back();
+    auto& added = pending.emplace_back();
     added.exchange = exchange;
 }
 
-void AnswerQueue::addOwn (Timestamp now, std::string message)
+void AnswerQueue::addConnectionError (Timestamp now, std::string message)
 {
-    auto& added = open.emplace_back();
+    auto& added = pending.emplace_back();
     added.message = std::move (message);
     added.close = true;
     added.readyAt = now;
@@ -24,51 +24,51 @@
                           bool close)
 {
     const auto found =
-        std::find_if (open.begin(), open.end(),
+        std::find_if (pending.begin(), pending.end(),
                       [&] (const auto& entry) { return entry.exchange.get() == &exchange; });
 
-    if (found == open.end() || ! found->message.empty())
+    if (found == pending.end() || ! found->message.empty())
         return false;
 
     found->message = message;
     found->close = close;
-    found->waited = found != open.begin();
+    found->outOfOrder = found != pending.begin();
     found->readyAt = now;
     return true;
 }
 
-bool AnswerQueue::takeDue (Timestamp now, Due& due)
+bool AnswerQueue::takeReady (Timestamp now, ReadyAnswer& ready)
 {
-    if (open.empty() || open.front().message.empty())
+    if (pending.empty() || pending.front().message.empty())
         return false;
 
-    auto& first = open.front();
-    due = { std::move (first.message), first.close, first.waited, now - first.readyAt };
-    open.pop_front();
+    auto& first = pending.front();
+    ready = { std::move (first.message), first.close, first.outOfOrder, now - first.readyAt };
+    pending.pop_front();
     return true;
 }
 
-std::deque<ExchangePointer> AnswerQueue::dropAll()
+std::deque<ExchangePointer> AnswerQueue::removeAll()
 {
-    std::deque<ExchangePointer> left;
+    std::deque<ExchangePointer> removed;
 
-    for (auto& entry : std::exchange (open, {}))
+    for (auto& entry : std::exchange (pending, {}))
         if (entry.exchange != nullptr)
-            left.push_back (std::move (entry.exchange));
+            removed.push_back (std::move (entry.exchange));
 
-    return left;
+    return removed;
 }
 
 bool AnswerQueue::isLatest (const Exchange& exchange) const
 {
-    return ! open.empty() && open.back().exchange.get() == &exchange;
+    return ! pending.empty() && pending.back().exchange.get() == &exchange;
 }
 
 std::size_t AnswerQueue::messageBytes() const
 {
     std::size_t bytes = 0;
 
-    for (const auto& entry : open)
+    for (const auto& entry : pending)
         bytes += entry.message.size();
 
     return bytes;
@@ -78,7 +78,7 @@
 {
     std::size_t bytes = 0;
 
-    for (const auto& entry : open)
+    for (const auto& entry : pending)
         bytes += entry.bodyBytes;
 
     return bytes;
--- a/src/sidecar/http/answer_queue.h
+++ b/src/sidecar/http/answer_queue.h
@@ -1,5 +1,6 @@
-/** The requests of one connection that were handed on, in their order, and their answers until it
-    is their turn to be written. No I/O.
+/** Puts the responses of one connection into the order of their requests. It holds the requests
+    that were dispatched, and each response until all earlier ones have been taken out. Performs no
+    I/O.
 */
 #pragma once
 
@@ -16,55 +17,64 @@
 class AnswerQueue
 {
 public:
-    /** Behind all that is there. */
+    /** Adds a request at the end of the queue. */
     void add (const ExchangePointer& exchange);
 
-    /** An answer that no request waits for: the connection's own refusal. It closes. */
-    void addOwn (Timestamp now, std::string message);
+    /** Adds an error response that belongs to no dispatched request, such as one to a request that
+        can't be parsed. The connection closes after it.
+    */
+    void addConnectionError (Timestamp now, std::string message);
 
-    /** Takes the latest request out again. */
-    void dropLatest() { open.pop_back(); }
+    /** Removes the request that was added last. */
+    void removeLatest() { pending.pop_back(); }
 
-    /** Counts the body that the latest request came with. */
-    void setLatestBody (std::size_t bytes) { open.back().bodyBytes = bytes; }
+    /** Sets the body size of the request that was added last, for bodyBytes(). */
+    void setLatestBody (std::size_t bytes) { pending.back().bodyBytes = bytes; }
 
-    /** @param close  the connection ends with this answer
-        @returns false when the request isn't there or is answered
+    /** Stores the response to a request.
+        @param close  the connection closes after this response
+        @returns false if the request isn't in the queue or already has a response
     */
     bool answer (Timestamp now, const Exchange& exchange, const std::string& message, bool close);
 
-    /** An answer whose turn it is. */
-    struct Due
+    /** A response that is next in order and can be written. */
+    struct ReadyAnswer
     {
         std::string message;
         bool close = false;
-        bool waited = false; /**< It was ready while earlier ones were not. */
-        Duration held{};     /**< Since it was ready. */
+        bool outOfOrder = false; /**< True if it had to wait for earlier responses. */
+        Duration timeQueued{};   /**< Time since the response was stored. */
     };
 
-    /** Takes the first answer out if it is there. @returns false when it isn't */
-    bool takeDue (Timestamp now, Due& due);
+    /** Takes out the first response. @returns false if the first request has none yet */
+    bool takeReady (Timestamp now, ReadyAnswer& ready);
 
-    /** Takes out every request that is not answered, or whose answer won't be written. */
-    std::deque<ExchangePointer> dropAll();
+    /** Empties the queue.
+        @returns its requests: those without a response and those whose response won't be written
+    */
+    std::deque<ExchangePointer> removeAll();
 
-    bool empty() const { return open.empty(); }
-    std::size_t size() const { return open.size(); }
+    bool empty() const { return pending.empty(); }
+    std::size_t size() const { return pending.size(); }
     bool isLatest (const Exchange& exchange) const;
+
+    /** @returns the total size of the queued responses */
     std::size_t messageBytes() const;
+
+    /** @returns the total body size of the queued requests */
     std::size_t bodyBytes() const;
 
 private:
-    struct OpenAnswer
+    struct PendingAnswer
     {
-        ExchangePointer exchange; /**< Null for the connection's own. */
-        std::string message;      /**< Empty until it is answered. */
+        ExchangePointer exchange; /**< Null for an error response of the connection. */
+        std::string message;      /**< The response; empty until there is one. */
         std::size_t bodyBytes = 0;
-        bool close = false, waited = false;
+        bool close = false, outOfOrder = false;
         Timestamp readyAt{};
     };
 
-    std::deque<OpenAnswer> open;
+    std::deque<PendingAnswer> pending;
 };
 
 } // namespace copperlead::sidecar
--- a/src/sidecar/http/http_server.cc
+++ b/src/sidecar/http/http_server.cc
@@ -19,7 +19,7 @@
     onGone = nullptr;
 
     if (const auto open = connection.lock())
-        open->respond (*this, message, close || closeAfter);
+        open->respond (*this, message, close || closeAfterResponse);
 
     connection.reset();
 }
@@ -33,7 +33,7 @@
 bool Exchange::clientLeft() const
 {
     const auto open = connection.lock();
-    return open == nullptr || open->clientLeft();
+    return open == nullptr || open->peerHasClosed();
 }
 
 bool Exchange::isLatest() const
@@ -84,25 +84,26 @@
         if (! accepted.open())
             return;
 
-        if (open.size() >= settings.mostConnections)
+        if (openConnections.size() >= settings.maxConnections)
             continue;
 
         setNoDelay (accepted);
         const auto connection = std::make_shared<ServerConnection> (
             shared_from_this(), std::move (accepted), FromNative (peer).ip == bound.ip);
-        open.insert (connection);
+        openConnections.insert (connection);
         connection->start();
     }
 }
 
 void HttpServer::remove (const std::shared_ptr<ServerConnection>& connection)
 {
-    open.erase (connection);
+    openConnections.erase (connection);
 }
 
 void HttpServer::closeIdle()
 {
-    const std::vector<std::shared_ptr<ServerConnection>> all (open.begin(), open.end());
+    const std::vector<std::shared_ptr<ServerConnection>> all (openConnections.begin(),
+                                                              openConnections.end());
 
     for (const auto& connection : all)
         if (connection->idle())
--- a/src/sidecar/http/http_server.h
+++ b/src/sidecar/http/http_server.h
@@ -1,7 +1,8 @@
-/** Takes HTTP/1.1 requests whole and writes whole answers, on a reactor's thread. A request is
-    handed on once its body has arrived; while it is worked on, the client's leaving is noticed at
-    once. Pipelined requests are handed on beside open ones where the settings allow it; answers go
-    out in the order of the requests. Everything here belongs to the reactor's thread.
+/** An HTTP/1.1 server that receives complete requests and writes complete responses. A request is
+    dispatched to the handler once its body has arrived; while it runs, a disconnect of the client
+    is noticed immediately. Pipelined requests run concurrently where the settings permit it;
+    responses are sent in the order of the requests. Everything here must be used on the reactor's
+    thread.
 */
 #pragma once
 
@@ -23,35 +24,36 @@
 
 class ServerConnection;
 
-/** One request and the way to answer it. */
+/** A request and the means to respond to it. */
 class Exchange
 {
 public:
     RequestHead head;
     std::string body;
-    Timestamp arrivedAt{};  /**< When its last byte was read. */
-    bool fromOwnIp = false; /**< Its sender has the IP that it was sent to. */
+    Timestamp arrivedAt{};  /**< Time when its last byte was read. */
+    bool fromOwnIp = false; /**< True if the client's IP is the one that the server listens on. */
 
-    /** Called at most once, when the client left, or its connection closed, before it was answered.
-     */
+    /** Called at most once, if the client disconnects or its connection is closed before the
+        request is answered.
+    */
     std::function<void()> onGone;
 
-    /** Writes a whole message. Once; without effect when the client has left.
-        @param close  the message says that the connection closes
+    /** Sends a complete response. May be called once; has no effect if the client has disconnected.
+        @param close  the message announces that the connection closes
     */
     void respond (const std::string& message, bool close);
 
-    /** Tells the client to send the body that it holds back (see ServerSettings::bodyGate). */
+    /** Tells the client to send the body that it withholds; see ServerSettings::bodyGate. */
     void continueBody();
 
-    /** True when the client has closed the connection, also if that hasn't been handled yet. */
+    /** @returns true if the client has closed the connection, even if that isn't handled yet */
     bool clientLeft() const;
 
-    /** True when the connection can't be kept, whatever the answer says. */
-    bool mustClose() const { return closeAfter; }
+    /** @returns true if the connection must close after the response, whatever the response says */
+    bool mustClose() const { return closeAfterResponse; }
 
-    /** True when no request of the connection was handed on after this one, so that its answer may
-        close the connection without cutting off another.
+    /** @returns true if no later request of the connection has been dispatched, so that the
+        response may close the connection without aborting another request
     */
     bool isLatest() const;
     bool isHead() const { return head.method == "HEAD"; }
@@ -59,12 +61,12 @@
 private:
     friend class ServerConnection;
     std::weak_ptr<ServerConnection> connection;
-    bool closeAfter = false;
+    bool closeAfterResponse = false;
 };
 
 using ExchangePointer = std::shared_ptr<Exchange>;
 
-/** An answer of the server's own to what it can't take as a request: its whole message. */
+/** Builds the complete response to input that the server rejects itself. */
 using ErrorMessage = std::function<std::string (int status, std::string_view cause)>;
 
 struct ServerSettings
@@ -73,26 +75,27 @@
     std::function<void (ExchangePointer)> handler;
     ErrorMessage errorMessage;
 
-    /** Whether a request may be handed on while earlier ones of its connection are unanswered. Such
-        a request may be cancelled, and be sent again by its client. Empty: none may.
+    /** Decides whether a request may be dispatched while earlier ones of its connection are
+        unanswered. Such a request may be cancelled, and its client may send it again. If empty, no
+        request may.
     */
     std::function<bool (const RequestHead&)> mayRunBeside;
 
-    /** Asked with the head alone when a client holds a body back until it is told to send it
-        (Expect: 100-continue). It calls continueBody(), at any time, or respond(): then the body
-        never comes and the connection is as good as before. Empty: each is told at once.
+    /** Called with the head of a request whose client withholds the body ("Expect: 100-continue").
+        It either calls continueBody(), at any time, or respond(), after which the body is not sent
+        and the connection remains usable. If empty, each client is told to continue immediately.
     */
     std::function<void (const ExchangePointer&)> bodyGate;
-    std::shared_ptr<LinkPacer> link; /**< For large answers; null: they are written as they come. */
-    std::size_t mostConnections = 3000;
-    std::size_t mostBufferedBytes = 96 << 20; /**< Of all requests that are being read. */
+    std::shared_ptr<LinkPacer> link; /**< Paces large responses; may be null. */
+    std::size_t maxConnections = 3000;
+    std::size_t maxBufferedRequestBytes = 96 << 20; /**< Body bytes of all connections together. */
 };
 
-/** Counted since the start. */
+/** Counters since the start of the server. */
 struct ServerCounters
 {
-    std::uint64_t besideOthers = 0;    /**< Requests handed on beside unanswered ones. */
-    mesh::LatencyHistogram answerHeld; /**< Of answers ready before earlier ones were. */
+    std::uint64_t besideOthers = 0; /**< Requests dispatched while earlier ones were unanswered. */
+    mesh::LatencyHistogram answerHeld; /**< Time that responses waited for earlier ones. */
 };
 
 class HttpServer : public std::enable_shared_from_this<HttpServer>
@@ -101,20 +104,21 @@
     HttpServer (std::shared_ptr<Reactor> reactorToUse, ServerSettings settingsToUse);
     ~HttpServer();
 
-    /** @returns kBadAddress or kAddressInUse naming the address */
+    /** Starts to listen. @returns kBadAddress or kAddressInUse with the address on failure */
     Result<Done> listen (const SocketAddress& address);
     SocketAddress address() const { return bound; }
 
-    /** From now on no request is handed on beside an unanswered one, so that connections can close.
-     */
+    /** Stops dispatching requests while an earlier one of their connection is unanswered, so that
+        connections can close.
+    */
     void drain() { draining = true; }
 
-    /** New connections are refused from now on. */
+    /** Stops accepting connections and closes the listening socket. */
     void stopListening();
 
     /** Closes the connections on which no request is being read or answered. */
     void closeIdle();
-    std::size_t connections() const { return open.size(); }
+    std::size_t connections() const { return openConnections.size(); }
     const ServerCounters& counters() const { return counts; }
 
 private:
@@ -128,7 +132,7 @@
     Socket listener;
     SocketAddress bound;
     Reactor::WatchId watch = 0;
-    std::set<std::shared_ptr<ServerConnection>> open;
+    std::set<std::shared_ptr<ServerConnection>> openConnections;
     std::size_t bufferedBytes = 0;
     bool draining = false;
     ServerCounters counts;
--- a/src/sidecar/http/server_connection.cc
+++ b/src/sidecar/http/server_connection.cc
@@ -12,23 +12,23 @@
 namespace
 {
 
-constexpr std::size_t readSize = 65536;
-constexpr std::size_t mostUnreadBytes = 65536; // Of input that can't be taken yet.
-constexpr std::size_t mostOpenRequests = 16;
-constexpr std::size_t mostUnsentBytes = 256 << 10; // Of answers, beyond which none is worked on.
-constexpr Milliseconds bodyTime{ 30'000 };
-constexpr Milliseconds writeTime{ 30'000 };
+constexpr std::size_t readBufferSize = 65536;
+constexpr std::size_t maxUnparsedBytes = 65536; // Input that can't be parsed yet.
+constexpr std::size_t maxPendingRequests = 16;
+constexpr std::size_t maxUnsentBytes = 256 << 10; // Unsent output that pauses dispatching.
+constexpr Milliseconds bodyTimeout{ 30'000 };
+constexpr Milliseconds writeTimeout{ 30'000 };
 
 Timestamp now() { return SteadyClock().Now(); }
 
 } // namespace
 
 ServerConnection::ServerConnection (std::shared_ptr<HttpServer> owner, Socket socketToUse,
-                                    bool isFromOwnIp)
+                                    bool isFromSameIp)
     : server (std::move (owner))
     , socket (std::move (socketToUse))
-    , fromOwnIp (isFromOwnIp)
-    , restingSince (now())
+    , fromOwnIp (isFromSameIp)
+    , idleSince (now())
 {
 }
 
@@ -51,8 +51,8 @@
     if ((events & EPOLLOUT) != 0)
         write();
 
-    // Too much is buffered to read on, so the end of the stream is known by its event alone.
-    if (blocked() && (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0)
+    // Reading is suspended while too much is buffered, so only the event reports the end of stream.
+    if (isReadingBlocked() && (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0)
         return close();
 
     if (state != State::closed && (events & (EPOLLIN | EPOLLHUP | EPOLLERR | EPOLLRDHUP)) != 0)
@@ -64,38 +64,38 @@
 
 bool ServerConnection::idle() const
 {
-    return state == State::head && input.empty() && output.empty() && open.empty();
+    return state == State::head && input.empty() && output.empty() && pending.empty();
 }
 
-bool ServerConnection::isLatest (const Exchange& asked) const { return open.isLatest (asked); }
+bool ServerConnection::isLatest (const Exchange& asked) const { return pending.isLatest (asked); }
 
-bool ServerConnection::mayTakeNext() const
+bool ServerConnection::canReadNext() const
 {
-    const auto unsent = output.size() - written + open.messageBytes();
+    const auto unsent = output.size() - written + pending.messageBytes();
 
-    if (lastTaken || unsent >= mostUnsentBytes)
+    if (noMoreRequests || unsent >= maxUnsentBytes)
         return false;
 
-    return open.empty() ||
-           (server->settings.mayRunBeside && ! server->draining && open.size() < mostOpenRequests);
+    return pending.empty() || (server->settings.mayRunBeside && ! server->draining &&
+                               pending.size() < maxPendingRequests);
 }
 
-bool ServerConnection::mayHandOn() const
+bool ServerConnection::canDispatch() const
 {
-    return mayTakeNext() && (open.empty() || server->settings.mayRunBeside (exchange->head));
+    return canReadNext() && (pending.empty() || server->settings.mayRunBeside (exchange->head));
 }
 
-bool ServerConnection::blocked() const
+bool ServerConnection::isReadingBlocked() const
 {
-    const bool waits = state == State::held || (state == State::head && ! mayTakeNext());
-    return waits && input.size() >= mostUnreadBytes;
+    const bool cannotProceed = state == State::waiting || (state == State::head && ! canReadNext());
+    return cannotProceed && input.size() >= maxUnparsedBytes;
 }
 
 void ServerConnection::readAll()
 {
-    static thread_local std::array<char, readSize> buffer;
+    static thread_local std::array<char, readBufferSize> buffer;
 
-    while (state != State::closed && ! blocked())
+    while (state != State::closed && ! isReadingBlocked())
     {
         const auto count = ::read (socket.descriptor(), buffer.data(), buffer.size());
 
@@ -125,23 +125,24 @@
         return;
 
     advancing = true;
-    auto before = State::closed;
-    std::size_t left = 0;
+    auto stateBefore = State::closed;
+    std::size_t bytesBefore = 0;
 
-    if (state == State::held && mayHandOn())
-        handOn();
+    if (state == State::waiting && canDispatch())
+        dispatch();
 
-    // Each turn takes a head or a part of a body; a turn that changes nothing waits for more bytes.
+    // Each iteration parses a head or a part of a body; the loop ends once nothing changes, until
+    // more bytes arrive.
     while (! input.empty() && (state == State::head || state == State::body) &&
-           (before != state || left != input.size()))
+           (stateBefore != state || bytesBefore != input.size()))
     {
-        before = state;
-        left = input.size();
+        stateBefore = state;
+        bytesBefore = input.size();
 
         if (state == State::body)
-            takeBody();
-        else if (mayTakeNext())
-            takeHead();
+            readBody();
+        else if (canReadNext())
+            readHead();
     }
 
     advancing = false;
@@ -150,9 +151,9 @@
         armTimer (deadline());
 }
 
-void ServerConnection::takeHead()
+void ServerConnection::readHead()
 {
-    // Empty lines before a request are passed over (RFC 9112, 2.2).
+    // Empty lines before a request are skipped (RFC 9112, section 2.2).
     while (input.starts_with ("\r\n"))
         input.erase (0, 2);
 
@@ -182,67 +183,67 @@
         return fail (413, "the body is too large");
 
     input.erase (0, end);
-    exchange->closeAfter = exchange->head.minor_version == 0 ||
-                           ListHolds (exchange->head.fields, "Connection", "close");
+    exchange->closeAfterResponse = exchange->head.minor_version == 0 ||
+                                   ListHolds (exchange->head.fields, "Connection", "close");
     decoder.emplace (framing);
 
-    owesContinue = ListHolds (exchange->head.fields, "Expect", "100-continue") && input.empty() &&
-                   ! decoder->complete();
+    continuePending = ListHolds (exchange->head.fields, "Expect", "100-continue") &&
+                      input.empty() && ! decoder->complete();
     state = State::body;
 
-    if (owesContinue && server->settings.bodyGate && open.empty())
-        return askGate();
+    if (continuePending && server->settings.bodyGate && pending.empty())
+        return callBodyGate();
 
     sendContinue();
 
     if (decoder->complete())
-        bodyTaken();
+        onBodyComplete();
 }
 
-bool ServerConnection::clientLeft() const
+bool ServerConnection::peerHasClosed() const
 {
-    // Reading ahead shows neither a reset nor an end behind bytes that are still unread.
+    // Peeking at the data shows neither a reset nor an end of stream behind unread bytes.
     pollfd stream{ socket.descriptor(), POLLRDHUP, 0 };
     return ::poll (&stream, 1, 0) == 1;
 }
 
-void ServerConnection::handOn()
+void ServerConnection::dispatch()
 {
-    // After a stall the request and the end of its connection are read together.
-    if (clientLeft())
+    // After the reactor was held up, a request may be read together with the end of its connection.
+    if (peerHasClosed())
         return close();
 
-    const bool isOpen = gated();
-    const auto handed = std::exchange (exchange, nullptr);
+    const bool alreadyQueued = isCurrentQueued();
+    const auto dispatched = std::exchange (exchange, nullptr);
     state = State::head;
-    lastTaken = handed->closeAfter;
+    noMoreRequests = dispatched->closeAfterResponse;
     headStartedAt = now();
-    handed->connection = weak_from_this();
+    dispatched->connection = weak_from_this();
 
-    server->counts.besideOthers += open.empty() || isOpen ? 0 : 1;
+    server->counts.besideOthers += pending.empty() || alreadyQueued ? 0 : 1;
 
-    if (! isOpen)
-        open.add (handed);
+    if (! alreadyQueued)
+        pending.add (dispatched);
 
-    open.setLatestBody (handed->body.size());
-    countBuffered();
-    server->settings.handler (handed);
+    pending.setLatestBody (dispatched->body.size());
+    updateBufferedBytes();
+    server->settings.handler (dispatched);
 }
 
-void ServerConnection::dropOpen()
+void ServerConnection::dropPending()
 {
     exchange.reset();
-    const auto left = open.dropAll();
-    countBuffered();
+    const auto removed = pending.removeAll();
+    updateBufferedBytes();
 
-    for (const auto& exchangeToLeave : left)
-        tellGone (*exchangeToLeave);
+    for (const auto& abandoned : removed)
+        notifyDisconnect (*abandoned);
 }
 
-void ServerConnection::tellGone (Exchange& exchangeToLeave)
+void ServerConnection::notifyDisconnect (Exchange& abandoned)
 {
-    if (exchangeToLeave.onGone)
-        std::exchange (exchangeToLeave.onGone, nullptr)();
+    if (abandoned.onGone)
+        std::exchange (abandoned.onGone, nullptr)();
 }
 
 void ServerConnection::close()
@@ -256,7 +257,7 @@
     server->reactor->Unwatch (watch, socket);
     socket.Close();
     server->remove (self);
-    dropOpen();
+    dropPending();
 }
 
 void ServerConnection::updateInterest()
@@ -264,8 +265,8 @@
     if (state == State::closed)
         return;
 
-    const std::uint32_t wanted = (blocked() ? EPOLLRDHUP : EPOLLIN) |
-                                 (written < output.size() && ! waitsForTurn() ? EPOLLOUT : 0U);
+    const std::uint32_t wanted = (isReadingBlocked() ? EPOLLRDHUP : EPOLLIN) |
+                                 (written < output.size() && ! isWaitingForLink() ? EPOLLOUT : 0U);
 
     if (wanted == interest)
         return;
@@ -279,19 +280,19 @@
     const auto limits = server->settings.limits();
 
     if (written < output.size())
-        return waitsForTurn() ? Timestamp::max() : wroteAt + writeTime;
+        return isWaitingForLink() ? Timestamp::max() : lastWriteAt + writeTimeout;
 
     switch (state)
     {
     case State::head:
-        if (! input.empty() && mayTakeNext())
+        if (! input.empty() && canReadNext())
             return headStartedAt + limits.headerTimeout;
-        return open.empty() ? restingSince + limits.idleTimeout : Timestamp::max();
+        return pending.empty() ? idleSince + limits.idleTimeout : Timestamp::max();
     case State::body:
-        return headStartedAt + bodyTime;
+        return headStartedAt + bodyTimeout;
     case State::lingering:
-        return lingerUntil;
-    case State::held:
+        return lingerEnd;
+    case State::waiting:
     case State::closed:
         break;
     }
@@ -301,7 +302,8 @@
 
 void ServerConnection::armTimer (Timestamp when)
 {
-    // A timer that comes too early arms the next; only an earlier deadline needs one now.
+    // A timer that fires too early arms the next one, so only an earlier deadline needs a new
+    // timer.
     if (when >= timerAt)
         return;
 
--- a/src/sidecar/http/server_connection.h
+++ b/src/sidecar/http/server_connection.h
@@ -1,7 +1,7 @@
-/** One client's connection: reads requests, writes their answers in the order of the requests.
-    Requests that come before the first is answered (HTTP/1.1 pipelining) are worked on side by
-    side when the server's settings allow it for them; others wait for those before them. Internal
-    to HttpServer.
+/** The connection of one client, which reads requests and writes the responses in the same order.
+    Pipelined requests, which arrive before an earlier one is answered, run concurrently if the
+    server's settings permit it for them; all others wait for the requests before them. Internal to
+    HttpServer.
 */
 #pragma once
 
@@ -19,72 +19,75 @@
 class ServerConnection : public std::enable_shared_from_this<ServerConnection>
 {
 public:
-    /** @param isFromOwnIp  the client has the IP that the server listens on */
-    ServerConnection (std::shared_ptr<HttpServer> owner, Socket socketToUse, bool isFromOwnIp);
+    /** @param isFromSameIp  the client has the IP that the server listens on */
+    ServerConnection (std::shared_ptr<HttpServer> owner, Socket socketToUse, bool isFromSameIp);
     ~ServerConnection();
 
     void start();
 
-    /** Gives the answer of one of the open requests; it is written once those before it are. */
+    /** Sets the response to a pending request, which is written after all earlier responses. */
     void respond (const Exchange& answered, const std::string& message, bool close);
 
-    /** Tells the client to send the body of the request that is being read. */
+    /** Sends 100 Continue, so that the client sends the body of the request that is being read. */
     void continueBody (const Exchange& asked);
 
-    /** Ends the connection; those whose requests are open are told that the client is gone. */
+    /** Closes the connection and calls Exchange::onGone for each pending request. */
     void close();
 
-    /** The client has closed its side, read or not. */
-    bool clientLeft() const;
+    /** @returns true if the client has closed its side, also if the end hasn't been read yet */
+    bool peerHasClosed() const;
 
-    /** No request is being read or answered. */
+    /** @returns true if no request is being read or answered */
     bool idle() const;
 
-    /** No request that was handed on came after this one. */
+    /** @returns true if no later request of the connection has been dispatched */
     bool isLatest (const Exchange& exchange) const;
 
 private:
-    /** What is read at present. */
+    /** What the connection is reading. */
     enum class State : std::uint8_t
     {
-        head, /**< A head, or nothing while the connection rests. */
+        head, /**< A request head, or nothing while the connection is idle. */
         body,
-        held,      /**< Nothing: a whole request waits for the answers before it. */
-        lingering, /**< The last answer is written; what still arrives is dropped. */
+        waiting,   /**< Nothing: a complete request waits for earlier responses. */
+        lingering, /**< The last response is written, and further input is discarded. */
         closed
     };
 
     void onEvents (std::uint32_t events);
     void readAll();
     void advance();
-    void takeHead();
-    void takeBody();
-    void bodyTaken();
-    void askGate();
-    bool gated() const;
+    void readHead();
+    void readBody();
+    void onBodyComplete();
+    void callBodyGate();
+
+    /** @returns true if the request that is being read has been passed to the body gate */
+    bool isCurrentQueued() const;
+
     bool bodyMayFollow() const;
     void abandonBody();
-    void handOn();
-    bool mayTakeNext() const;
-    bool mayHandOn() const;
-    bool blocked() const;
+    void dispatch();
+    bool canReadNext() const;
+    bool canDispatch() const;
+    bool isReadingBlocked() const;
     void sendContinue();
     void fail (int status, std::string_view cause);
     void writeAnswers();
     void write();
     std::size_t writableBytes();
-    void countWritten (std::size_t bytes);
-    void onTurn();
+    void recordWritten (std::size_t bytes);
+    void onLinkAllowance();
     void endTransfer();
-    bool waitsForTurn() const { return transfer != 0 && ! stalled; }
+    bool isWaitingForLink() const { return transfer != 0 && ! stalled; }
     void linger();
-    void dropOpen();
-    static void tellGone (Exchange& exchangeToLeave);
+    void dropPending();
+    static void notifyDisconnect (Exchange& abandoned);
     void updateInterest();
     void armTimer (Timestamp when);
     void onTimer();
     Timestamp deadline() const;
-    void countBuffered();
+    void updateBufferedBytes();
 
     std::shared_ptr<HttpServer> server;
     Socket socket;
@@ -95,16 +98,16 @@
     std::string input, output;
     std::size_t written = 0;
     bool closeAfterWrite = false;
-    LinkPacer::Id transfer = 0; /**< Of a large answer that is being written; 0: none is. */
-    bool stalled = false;       /**< Its client takes nothing at present. */
-    bool lastTaken = false;     /**< What comes behind the requests taken so far isn't read. */
-    bool owesContinue = false;  /**< The client waits for a word before it sends the body. */
-    bool advancing = false;     /**< Guards against advance() from within advance(). */
-    ExchangePointer exchange;   /**< That is being read, or held. */
+    LinkPacer::Id transfer = 0;   /**< The large response that is being written, or 0. */
+    bool stalled = false;         /**< The client accepts no more bytes of the transfer for now. */
+    bool noMoreRequests = false;  /**< Input after the requests read so far is ignored. */
+    bool continuePending = false; /**< The client may wait for 100 Continue. */
+    bool advancing = false;       /**< Prevents recursive calls of advance(). */
+    ExchangePointer exchange;     /**< The request that is being read, or is waiting. */
     std::optional<BodyDecoder> decoder;
-    AnswerQueue open;         /**< Requests that were handed on. */
-    std::size_t buffered = 0; /**< Bytes of bodies that the server has counted. */
-    Timestamp headStartedAt{}, restingSince{}, wroteAt{}, timerAt = Timestamp::max(), lingerUntil{};
+    AnswerQueue pending;              /**< Dispatched requests, and one at the body gate. */
+    std::size_t countedBodyBytes = 0; /**< This connection's share of HttpServer::bufferedBytes. */
+    Timestamp headStartedAt{}, idleSince{}, lastWriteAt{}, timerAt = Timestamp::max(), lingerEnd{};
 };
 
 } // namespace copperlead::sidecar
--- a/src/sidecar/http/server_connection_answers.cc
+++ b/src/sidecar/http/server_connection_answers.cc
@@ -1,5 +1,6 @@
-/** How a server's connection sends answers, in the order of their requests, and ends with the last.
- */
+/** The part of ServerConnection that sends responses in the order of their requests, and closes the
+    connection after the last one.
+*/
 #include <sys/socket.h>
 
 #include <algorithm>
@@ -14,7 +15,7 @@
 namespace
 {
 
-constexpr Milliseconds lingerTime{ 1000 };
+constexpr Milliseconds lingerTimeout{ 1000 };
 
 Timestamp now() { return SteadyClock().Now(); }
 
@@ -22,31 +23,31 @@
 
 void ServerConnection::fail (int status, std::string_view cause)
 {
-    if (gated())
+    if (isCurrentQueued())
     {
-        open.dropLatest();
-        tellGone (*exchange);
+        pending.removeLatest();
+        notifyDisconnect (*exchange);
     }
 
     exchange.reset();
     input.clear();
-    lastTaken = true;
+    noMoreRequests = true;
     state = State::head;
-    open.addOwn (now(), server->settings.errorMessage (status, cause));
+    pending.addConnectionError (now(), server->settings.errorMessage (status, cause));
     writeAnswers();
 }
 
 void ServerConnection::respond (const Exchange& answered, const std::string& message, bool close)
 {
     const bool isBeingRead = exchange.get() == &answered;
-    // Behind the answer such a body would be taken for a request.
+    // After this response, a body that still arrives would be parsed as a request.
     const bool closes = close || (isBeingRead && bodyMayFollow());
 
-    if (! open.answer (now(), answered, message, closes))
+    if (! pending.answer (now(), answered, message, closes))
         return;
 
-    // A closing answer is the last one, so what was read behind it must not begin.
-    lastTaken = lastTaken || closes;
+    // A response that closes the connection is the last one, so no request read after it may start.
+    noMoreRequests = noMoreRequests || closes;
 
     if (isBeingRead)
         abandonBody();
@@ -58,22 +59,22 @@
 {
     const auto at = now();
 
-    for (AnswerQueue::Due due; ! closeAfterWrite && open.takeDue (at, due);)
+    for (AnswerQueue::ReadyAnswer ready; ! closeAfterWrite && pending.takeReady (at, ready);)
     {
-        if (due.waited)
-            server->counts.answerHeld.observe (mesh::toMilliseconds (due.held));
+        if (ready.outOfOrder)
+            server->counts.answerHeld.observe (mesh::toMilliseconds (ready.timeQueued));
 
-        output.append (due.message);
-        closeAfterWrite = due.close;
+        output.append (ready.message);
+        closeAfterWrite = ready.close;
     }
 
-    countBuffered();
+    updateBufferedBytes();
     write();
 
     if (state == State::closed || state == State::lingering)
         return;
 
-    restingSince = at;
+    idleSince = at;
 
     if (state == State::head)
         headStartedAt = at;
@@ -90,30 +91,30 @@
 
 std::size_t ServerConnection::writableBytes()
 {
-    const auto left = output.size() - written;
+    const auto remaining = output.size() - written;
     const auto& link = server->settings.link;
 
-    if (link == nullptr || (transfer == 0 && left < mesh::largeAnswerBytes))
-        return left;
+    if (link == nullptr || (transfer == 0 && remaining < mesh::largeAnswerBytes))
+        return remaining;
 
     if (transfer == 0)
-        transfer = link->begin (left,
+        transfer = link->begin (remaining,
                                 [weak = weak_from_this()]
                                 {
                                     if (const auto self = weak.lock())
-                                        self->onTurn();
+                                        self->onLinkAllowance();
                                 });
 
     if (std::exchange (stalled, false))
         link->setStalled (transfer, false);
 
-    return std::min (left, link->allowance (transfer));
+    return std::min (remaining, link->allowance (transfer));
 }
 
-void ServerConnection::countWritten (std::size_t bytes)
+void ServerConnection::recordWritten (std::size_t bytes)
 {
     written += bytes;
-    wroteAt = now();
+    lastWriteAt = now();
 
     if (server->settings.link != nullptr)
         server->settings.link->wrote (transfer, bytes);
@@ -127,7 +128,7 @@
     stalled = false;
 }
 
-void ServerConnection::onTurn()
+void ServerConnection::onLinkAllowance()
 {
     write();
 
@@ -142,13 +143,13 @@
 {
     while (written < output.size())
     {
-        const auto most = writableBytes();
+        const auto limit = writableBytes();
 
-        if (most == 0)
+        if (limit == 0)
             return updateInterest();
 
         const auto count =
-            ::send (socket.descriptor(), output.data() + written, most, MSG_NOSIGNAL);
+            ::send (socket.descriptor(), output.data() + written, limit, MSG_NOSIGNAL);
 
         if (count < 0 && (errno == EAGAIN || errno == EINTR))
         {
@@ -161,7 +162,7 @@
         if (count < 0)
             return close();
 
-        countWritten (static_cast<std::size_t> (count));
+        recordWritten (static_cast<std::size_t> (count));
     }
 
     const bool wrote = written > 0;
@@ -172,7 +173,7 @@
     if (closeAfterWrite)
         return linger();
 
-    // What was not worked on while too much was unsent.
+    // Continues with requests that were delayed because too much was unsent.
     if (wrote)
         advance();
 }
@@ -183,8 +184,8 @@
         return;
 
     state = State::lingering;
-    dropOpen();
-    lingerUntil = now() + lingerTime;
+    dropPending();
+    lingerEnd = now() + lingerTimeout;
     shutdown (socket.descriptor(), SHUT_WR);
     armTimer (deadline());
 }
--- a/src/sidecar/http/server_connection_body.cc
+++ b/src/sidecar/http/server_connection_body.cc
@@ -1,4 +1,4 @@
-/** How a server's connection takes the bodies of requests, told to come or not. */
+/** The part of ServerConnection that reads request bodies and sends 100 Continue. */
 #include "sidecar/http/server_connection.h"
 
 namespace copperlead::sidecar
@@ -12,57 +12,60 @@
 
 } // namespace
 
-void ServerConnection::askGate()
+void ServerConnection::callBodyGate()
 {
     exchange->connection = weak_from_this();
-    open.add (exchange);
+    pending.add (exchange);
     const auto asked = exchange;
     server->settings.bodyGate (asked);
 }
 
-bool ServerConnection::gated() const { return exchange != nullptr && isLatest (*exchange); }
+bool ServerConnection::isCurrentQueued() const
+{
+    return exchange != nullptr && isLatest (*exchange);
+}
 
 void ServerConnection::continueBody (const Exchange& asked)
 {
-    if (state != State::body || exchange.get() != &asked || ! owesContinue)
+    if (state != State::body || exchange.get() != &asked || ! continuePending)
         return;
 
-    owesContinue = false;
+    continuePending = false;
     output.append (continueMessage);
     write();
 }
 
 bool ServerConnection::bodyMayFollow() const
 {
-    // It was called for, or came unasked.
-    return ! owesContinue || ! input.empty();
+    // The client has been told to continue, or has sent data without being told.
+    return ! continuePending || ! input.empty();
 }
 
 void ServerConnection::abandonBody()
 {
-    owesContinue = false;
+    continuePending = false;
     exchange.reset();
     state = State::head;
 }
 
 void ServerConnection::sendContinue()
 {
-    // In front of earlier answers it would be taken for a part of them.
-    if (exchange != nullptr && open.empty())
+    // 100 Continue sent before earlier responses would be attributed to one of their requests.
+    if (exchange != nullptr && pending.empty())
         continueBody (*exchange);
 }
 
-void ServerConnection::countBuffered()
+void ServerConnection::updateBufferedBytes()
 {
-    const auto bytes = (exchange == nullptr ? 0 : exchange->body.size()) + open.bodyBytes();
-    server->bufferedBytes += bytes - buffered;
-    buffered = bytes;
+    const auto bytes = (exchange == nullptr ? 0 : exchange->body.size()) + pending.bodyBytes();
+    server->bufferedBytes += bytes - countedBodyBytes;
+    countedBodyBytes = bytes;
 }
 
-void ServerConnection::takeBody()
+void ServerConnection::readBody()
 {
     input.erase (0, decoder->feed (input, exchange->body));
-    countBuffered();
+    updateBufferedBytes();
 
     if (decoder->malformed())
         return fail (400, "malformed chunked framing");
@@ -70,21 +73,21 @@
     if (exchange->body.size() > server->settings.limits().bodyBytes)
         return fail (413, "the body is too large");
 
-    if (server->bufferedBytes > server->settings.mostBufferedBytes)
+    if (server->bufferedBytes > server->settings.maxBufferedRequestBytes)
         return fail (503, "too many bodies are being read");
 
     if (decoder->complete())
-        bodyTaken();
+        onBodyComplete();
 }
 
-void ServerConnection::bodyTaken()
+void ServerConnection::onBodyComplete()
 {
     exchange->arrivedAt = now();
-    owesContinue = false;
-    state = State::held;
+    continuePending = false;
+    state = State::waiting;
 
-    if (gated() || mayHandOn())
-        handOn();
+    if (isCurrentQueued() || canDispatch())
+        dispatch();
 }
 
 } // namespace copperlead::sidecar
--- a/tests/sidecar/http/answer_queue_test.cc
+++ b/tests/sidecar/http/answer_queue_test.cc
@@ -23,62 +23,62 @@
 
     AnswerQueue queue;
     ExchangePointer exchanges[3];
-    AnswerQueue::Due due;
+    AnswerQueue::ReadyAnswer ready;
 };
 
-TEST_F (AnswerQueueTest, AnAnswerWaitsForThoseBeforeItAndSaysForHowLong)
+TEST_F (AnswerQueueTest, AResponseWaitsForEarlierOnesAndReportsHowLong)
 {
     EXPECT_TRUE (queue.answer (at (10), *exchanges[1], "second", false));
-    EXPECT_FALSE (queue.takeDue (at (10), due));
+    EXPECT_FALSE (queue.takeReady (at (10), ready));
     EXPECT_TRUE (queue.answer (at (25), *exchanges[0], "first", false));
-    ASSERT_TRUE (queue.takeDue (at (25), due));
-    EXPECT_EQ (due.message, "first");
-    EXPECT_FALSE (due.waited);
-    ASSERT_TRUE (queue.takeDue (at (25), due));
-    EXPECT_EQ (due.message, "second");
-    EXPECT_TRUE (due.waited);
-    EXPECT_EQ (due.held, Milliseconds (15));
-    EXPECT_FALSE (queue.takeDue (at (25), due));
+    ASSERT_TRUE (queue.takeReady (at (25), ready));
+    EXPECT_EQ (ready.message, "first");
+    EXPECT_FALSE (ready.outOfOrder);
+    ASSERT_TRUE (queue.takeReady (at (25), ready));
+    EXPECT_EQ (ready.message, "second");
+    EXPECT_TRUE (ready.outOfOrder);
+    EXPECT_EQ (ready.timeQueued, Milliseconds (15));
+    EXPECT_FALSE (queue.takeReady (at (25), ready));
     EXPECT_EQ (queue.size(), 1U);
 }
 
-TEST_F (AnswerQueueTest, OnlyTheFirstAnswerToARequestCounts)
+TEST_F (AnswerQueueTest, OnlyTheFirstResponseToARequestCounts)
 {
     EXPECT_TRUE (queue.answer (at (0), *exchanges[0], "one", true));
     EXPECT_FALSE (queue.answer (at (1), *exchanges[0], "two", false));
     EXPECT_FALSE (queue.answer (at (1), Exchange(), "whose", false));
-    ASSERT_TRUE (queue.takeDue (at (1), due));
-    EXPECT_EQ (due.message, "one");
-    EXPECT_TRUE (due.close);
+    ASSERT_TRUE (queue.takeReady (at (1), ready));
+    EXPECT_EQ (ready.message, "one");
+    EXPECT_TRUE (ready.close);
 }
 
-TEST_F (AnswerQueueTest, TheConnectionsOwnRefusalComesInItsTurnAndCloses)
+TEST_F (AnswerQueueTest, AConnectionErrorFollowsEarlierResponsesAndCloses)
 {
-    queue.addOwn (at (0), "refused");
+    queue.addConnectionError (at (0), "refused");
     EXPECT_FALSE (queue.isLatest (*exchanges[2]));
 
     for (const auto& exchange : exchanges)
         EXPECT_TRUE (queue.answer (at (1), *exchange, "ok", false));
 
     for (int n = 0; n < 3; ++n)
-        ASSERT_TRUE (queue.takeDue (at (1), due));
+        ASSERT_TRUE (queue.takeReady (at (1), ready));
 
-    ASSERT_TRUE (queue.takeDue (at (1), due));
-    EXPECT_EQ (due.message, "refused");
-    EXPECT_TRUE (due.close);
+    ASSERT_TRUE (queue.takeReady (at (1), ready));
+    EXPECT_EQ (ready.message, "refused");
+    EXPECT_TRUE (ready.close);
     EXPECT_TRUE (queue.empty());
 }
 
-TEST_F (AnswerQueueTest, CountsBytesAndGivesBackWhatIsLeft)
+TEST_F (AnswerQueueTest, CountsBytesAndReturnsTheRemainingRequests)
 {
     EXPECT_TRUE (queue.isLatest (*exchanges[2]));
     queue.setLatestBody (70);
     queue.answer (at (0), *exchanges[1], "12345", false);
     EXPECT_EQ (queue.messageBytes(), 5U);
     EXPECT_EQ (queue.bodyBytes(), 70U);
-    queue.dropLatest();
+    queue.removeLatest();
     EXPECT_EQ (queue.bodyBytes(), 0U);
-    EXPECT_EQ (queue.dropAll().size(), 2U);
+    EXPECT_EQ (queue.removeAll().size(), 2U);
     EXPECT_TRUE (queue.empty());
 }
 
