--- a/src/routing/load_report.h
+++ b/src/routing/load_report.h
@@ -1,4 +1,4 @@
-// What a back end last said of its load.
+// The last load that a back end reported.
 #pragma once
 
 #include <cstdint>
@@ -7,14 +7,14 @@
 
 namespace copperlead {
 
-// One back end's report. Used only while fresh: an old one says nothing. Not thread-safe.
+// Load report of one back end. It is used only while fresh; an old one is ignored. Not thread-safe.
 class LoadReport {
  public:
-  // @param in_flight requests that the back end works on, from all callers.
-  // @param own_in_flight of these, the node's own at this moment.
+  // @param in_flight requests from all callers that the back end reports as in flight.
+  // @param own_in_flight this node's requests in flight there when the report arrives.
   void Record(Timestamp now, std::uint32_t in_flight, std::uint32_t own_in_flight);
 
-  // @param freshness the longest age at which a report is used.
+  // @param freshness maximum age at which a report is used.
   // @return other callers' requests in flight; 0 without a fresh report.
   std::uint32_t OthersInFlight(Timestamp now, Duration freshness) const;
 
--- a/src/routing/path_normalizer.cc
+++ b/src/routing/path_normalizer.cc
@@ -10,7 +10,7 @@
   return -1;
 }
 
-// RFC 3986 section 2.3.
+// The unreserved characters of RFC 3986 section 2.3.
 bool IsUnreserved(char character) {
   if (character >= 'a' && character <= 'z') return true;
   if (character >= 'A' && character <= 'Z') return true;
@@ -33,7 +33,7 @@
   text += kDigits[code % 16];
 }
 
-// Decodes one segment onto the end of `text`. @return false when it must be refused.
+// Decodes one segment and appends it to `text`. @return false when it must be refused.
 bool AppendSegment(std::string_view segment, std::string& text) {
   for (std::size_t index = 0; index < segment.size(); ++index) {
     const char character = segment[index];
@@ -69,7 +69,7 @@
   normalized.clear();
   if (path.empty() || path.front() != '/') return false;
   normalized.reserve(path.size());
-  // Invariant: `normalized` ends where the next segment's '/' goes; empty stands for the root.
+  // Invariant: `normalized` ends right before the '/' of the next segment; empty is the root.
   bool trailing_slash = true;
   while (!path.empty()) {
     path.remove_prefix(1);
--- a/src/routing/route_index.cc
+++ b/src/routing/route_index.cc
@@ -11,7 +11,7 @@
 
 constexpr int kNoRow = -1;
 
-// Lets the map be searched by string_view without building a string.
+// Transparent hash: allows lookups by string_view without building a string.
 struct SegmentHash {
   using is_transparent = void;
   std::size_t operator()(std::string_view text) const {
@@ -19,8 +19,9 @@
   }
 };
 
-// Takes the next segment off the front of `rest`; both lose the '/' before it.
-// @return false when no segment is left. A trailing '/' is no segment.
+// Removes the next segment and the '/' before it from `rest`; `segment` receives it without the
+// '/'.
+// @return false when no segment remains. A trailing '/' is not a segment.
 bool TakeSegment(std::string_view& rest, std::string_view& segment) {
   if (!rest.empty() && rest.front() == '/') rest.remove_prefix(1);
   if (rest.empty()) return false;
@@ -48,7 +49,8 @@
       if (!child) child = std::make_unique<Node>();
       node = child.get();
     }
-    // Canonical order puts "/a" before "/a/": the first of two spellings stays.
+    // The first of two routes with one normalized path is kept; canonical order puts "/a" before
+    // "/a/".
     if (node->row == kNoRow) node->row = static_cast<int>(row);
   }
 }
--- a/src/routing/route_index.h
+++ b/src/routing/route_index.h
@@ -1,4 +1,4 @@
-// Which row of the table a path belongs to.
+// Finds the table row whose route matches a path.
 #pragma once
 
 #include <memory>
@@ -8,19 +8,20 @@
 
 namespace copperlead {
 
-// Longest-prefix match over path segments: a tree with one level per segment, so a match costs one
-// hash look-up per segment of the path whatever the table's size. Immutable; any thread.
+// Longest-prefix match over path segments. A tree with one level per segment makes a match cost one
+// hash lookup per segment of the path, regardless of the table's size. Immutable, so any thread may
+// use it.
 class RouteIndex {
  public:
-  // A route's own path is normalized first; one that NormalizePath refuses never matches.
+  // Normalizes the path of each route; a route that NormalizePath() refuses never matches.
   explicit RouteIndex(const Table& table);
   ~RouteIndex();
   RouteIndex(RouteIndex&&) noexcept;
   RouteIndex& operator=(RouteIndex&&) noexcept;
 
-  // @param path normalized (see NormalizePath).
-  // @return the index into table.rows of the longest route that is `path` or a prefix of it ending
-  //         on a segment border; -1 when none is.
+  // @param path normalized path (see NormalizePath()).
+  // @return the index into table.rows of the longest route that equals `path` or is a prefix of it
+  //         that ends at a segment boundary; -1 when there is none.
   int Match(std::string_view path) const;
 
  private:
--- a/src/routing/router_view.cc
+++ b/src/routing/router_view.cc
@@ -8,8 +8,9 @@
 namespace copperlead {
 namespace {
 
-// How long a back end's state is kept while no snapshot lists it: lists flap.
-constexpr Duration kEndpointMemory = std::chrono::seconds(60);
+// Time for which the state of a back end is kept while no snapshot lists it, as lists may omit a
+// back end temporarily.
+constexpr Duration kUnlistedRetention = std::chrono::seconds(60);
 
 std::string StateKey(const std::string& service, const Endpoint& endpoint) {
   return service + '\n' + endpoint.id + '\n' + ToString(endpoint.address);
@@ -41,10 +42,10 @@
     if (service != view->services.end()) route.service = &service->second;
     const auto secret = bundle.secrets.find(row.secret);
     if (!row.secret.empty() && secret != bundle.secrets.end()) route.secret = &secret->second;
-    route.limits = LimitsOf(row.route);
+    route.limits = FindOrAddLimits(row.route);
     view->routes.push_back(std::move(route));
   }
-  Forget(now, *view);
+  RemoveUnused(now, *view);
   return view;
 }
 
@@ -56,7 +57,7 @@
     StoredEndpoint& stored = endpoints_[StateKey(service, endpoint)];
     if (!stored.state) {
       stored.state = std::make_shared<EndpointState>();
-      // All are new to a node that just started: then none of them is.
+      // To a node that just started all back ends are new, so none of them gets a slow start.
       if (known_services_.contains(service)) stored.state->first_seen = now;
     }
     stored.last_listed = now;
@@ -65,7 +66,7 @@
   return slots;
 }
 
-std::shared_ptr<RouteLimits> StateStore::LimitsOf(const std::string& route) {
+std::shared_ptr<RouteLimits> StateStore::FindOrAddLimits(const std::string& route) {
   auto& limits = limits_[route];
   if (!limits) {
     limits = std::make_shared<RouteLimits>();
@@ -74,11 +75,11 @@
   return limits;
 }
 
-void StateStore::Forget(Timestamp now, const RouterView& view) {
-  // A state that no view holds can't be reached by any session, and only Join() makes views.
+void StateStore::RemoveUnused(Timestamp now, const RouterView& view) {
+  // A state that no view holds can't be reached by any session, and only Join() creates views.
   std::erase_if(endpoints_, [&](const auto& entry) {
     const StoredEndpoint& stored = entry.second;
-    return stored.state.use_count() == 1 && now - stored.last_listed > kEndpointMemory;
+    return stored.state.use_count() == 1 && now - stored.last_listed > kUnlistedRetention;
   });
   std::erase_if(limits_, [](const auto& entry) { return entry.second.use_count() == 1; });
   std::erase_if(known_services_,
--- a/src/routing/router_view.h
+++ b/src/routing/router_view.h
@@ -1,4 +1,4 @@
-// A snapshot joined with the state that outlives it: what one decision needs, found by index.
+// A snapshot joined with the state that is kept across snapshots, indexed by route.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +17,13 @@
 
 namespace copperlead {
 
-// Limits of one route. Kept over snapshots by the route's path. Guarded by the RouterCore's mutex.
+// Limits of one route. They are kept across snapshots by the route's path and guarded by the
+// RouterCore's mutex.
 struct RouteLimits {
   RateLimiter rate;
   InFlightLimiter in_flight;
-  std::uint64_t path_hash = 0;  // Spreads uneven parts of limits: no rank comes first everywhere.
+  std::uint64_t path_hash =
+      0;  // Rotates the ranks, so that no rank gets the larger part on all routes.
 };
 
 struct ServiceView {
@@ -37,31 +39,34 @@
 struct RouteView {
   const RouteRow* row = nullptr;
   const ServiceView* service = nullptr;  // Null only for a bundle that was not validated.
-  const std::string* secret = nullptr;   // Null: none.
+  const std::string* secret = nullptr;   // Null: no secret.
   std::shared_ptr<RouteLimits> limits;
 };
 
-// Immutable but for the states it points to.
+// Immutable except for the states it points to.
 struct RouterView {
   RoutingSnapshotPointer snapshot;
   std::map<std::string, ServiceView> services;
-  std::vector<RouteView> routes;  // In the order of the table's rows.
+  std::vector<RouteView> routes;  // Routes in the order of the table's rows.
 
   // @return the route of a normalized path; null when there is none.
   const RouteView* Match(std::string_view path) const;
 };
 using RouterViewPointer = std::shared_ptr<const RouterView>;
 
-// Owns the states and joins them with each new snapshot. Not thread-safe; it reads and writes the
-// content of shared states only in MarkListed(), so that Join(), which takes milliseconds with
+// Owns the states and joins them with each new snapshot. Not thread-safe. It accesses the content
+// of states that sessions share only in MarkListed(), so that Join(), which takes milliseconds with
 // thousands of routes, needs no lock that requests wait for.
 class StateStore {
  public:
-  // @return the view of `snapshot`. Back ends that appear in a running node are new: their slow
-  //         start begins now. States of back ends that were not listed for a while are dropped.
+  // Joins `snapshot` with the states. The slow start of a back end begins now when it is added to a
+  // service that had back ends before. States of back ends that have not been listed for a while
+  // are removed.
+  // @return the view of `snapshot`.
   RouterViewPointer Join(Timestamp now, RoutingSnapshotPointer snapshot);
 
-  // Tells all states whether `view` lists them as live. Needs the RouterCore's mutex.
+  // Records in all states whether `view` lists them as live. The caller holds the RouterCore's
+  // mutex.
   void MarkListed(const RouterView& view);
 
  private:
@@ -72,10 +77,10 @@
 
   std::vector<EndpointSlot> JoinSite(Timestamp now, const std::string& service,
                                      const std::vector<Endpoint>& site);
-  std::shared_ptr<RouteLimits> LimitsOf(const std::string& route);
-  void Forget(Timestamp now, const RouterView& view);
+  std::shared_ptr<RouteLimits> FindOrAddLimits(const std::string& route);
+  void RemoveUnused(Timestamp now, const RouterView& view);
 
-  // By service, id and address: an instance that comes back elsewhere is a new one.
+  // The key is service, id and address: an instance that returns at another address is a new one.
   std::unordered_map<std::string, StoredEndpoint> endpoints_;
   std::unordered_map<std::string, std::shared_ptr<RouteLimits>> limits_;
   std::set<std::string> known_services_;  // Services that had back ends before.
--- a/src/routing/routing_snapshot.cc
+++ b/src/routing/routing_snapshot.cc
@@ -18,7 +18,7 @@
   return endpoint;
 }
 
-// Sorts every back end of a known service to its site.
+// Adds every back end of a known service to its site.
 void AddEndpoints(const MachineList& list, std::map<std::string, ServiceEndpoints>& services) {
   for (const Machine& machine : list.machines) {
     if (machine.kind != MachineKind::kBackend) continue;
@@ -29,7 +29,7 @@
   }
 }
 
-// Replaces a site's back ends by this node's subset of them. Leaving ones stay, without a share.
+// Replaces a site's back ends by this node's subset of them. Leaving ones stay with a share of 0.
 void ApplySubset(const ServiceSettings& settings, const FleetShape& fleet,
                  const std::string& site_key, std::vector<Endpoint>& site) {
   const auto first_leaving = std::stable_partition(
--- a/src/routing/site_split.h
+++ b/src/routing/site_split.h
@@ -1,4 +1,4 @@
-// Which site a request goes to: the table's weights, stable per request id.
+// Chooses the site of a request by the table's weights, consistently for each request id.
 #pragma once
 
 #include <cstdint>
@@ -10,20 +10,21 @@
 
 namespace copperlead {
 
-// @return the request's place among 100 equal shares, 0 to 99: the same on every node and for every
-//         route, so that a call and the calls it makes under one id go to one site.
+// Maps a request id to one of 100 equal shares. The result is the same on every node and for every
+// route, so that a call and the calls it makes with the same id go to the same site.
+// @return the share, 0 to 99.
 std::uint32_t SplitShare(std::string_view request_id);
 
-// Whether each site has any back end that may get new work.
+// Tells for each site whether it has a back end that accepts new work.
 struct SiteAvailability {
   bool old_site = false;
   bool new_site = false;
 };
 
-// Shares below old_weight go to the old site, so moving one percent of weight moves just the ids of
-// that one percent. A site without any back end hands its requests to the other one only if that
-// one has a weight above 0: weight 0 is the operators' word that nothing goes there.
-// @return the site; nothing when neither may be used.
+// Shares below old_weight go to the old site, so moving one percent of weight moves only the ids of
+// that percent. Requests for a site without an available back end go to the other site only if its
+// weight is above 0: by weight 0 operators exclude a site.
+// @return the site; nothing when neither can be used.
 std::optional<Site> ChooseSite(const RouteRow& row, std::uint32_t share,
                                const SiteAvailability& available);
 
--- a/src/routing/subsetting.cc
+++ b/src/routing/subsetting.cc
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr std::uint32_t kUnbounded = std::numeric_limits<std::uint32_t>::max();
-constexpr std::size_t kLeastMembers = 3;
+constexpr std::size_t kMinMembers = 3;
 
-// Connections of one back end that may be kept open by the whole fleet.
-std::size_t KeptConnections(std::uint32_t connections_per_instance) {
+// @return how many connections to one back end the whole fleet may keep open.
+std::size_t MaxKeptConnections(std::uint32_t connections_per_instance) {
   const std::size_t headroom = connections_per_instance / 4;
   return std::max<std::size_t>(1, connections_per_instance - headroom);
 }
@@ -23,21 +23,24 @@
   return (dividend + divisor - 1) / divisor;
 }
 
-// The most nodes that share one back end when each uses `size` of `back_ends`.
+// @return the maximum number of nodes that share a back end when each node uses `size` of them.
 std::size_t NodesPerBackEnd(const SubsetShape& shape, std::size_t size) {
   if (size >= shape.back_ends) return shape.live_nodes;
   return DivideUp(shape.live_nodes, shape.back_ends) * size;
 }
 
-// The largest subset whose nodes per back end fit; at least 1.
-std::size_t SubsetSize(const SubsetShape& shape, std::size_t kept) {
+// @return the largest subset size, at least 1, with at most `max_kept` nodes per back end if
+// possible.
+std::size_t SubsetSize(const SubsetShape& shape, std::size_t max_kept) {
   std::size_t size = shape.back_ends;
-  while (size > 1 && NodesPerBackEnd(shape, size) > kept) --size;
+  while (size > 1 && NodesPerBackEnd(shape, size) > max_kept) --size;
   return size;
 }
 
-// The distance between a node's back ends. It changes from block to block, so that the nodes of a
-// lost back end do not all turn to the same neighbour. Walking `size` steps repeats no back end.
+// @return the distance between a node's back ends. It differs from block to block, so that the
+// nodes
+//         of a failed back end don't all move to the same other one. Taking `size` steps visits no
+//         back end twice.
 std::size_t Stride(const SubsetShape& shape, std::size_t block, std::size_t size) {
   if (shape.back_ends < 3) return 1;
   std::size_t stride = 1 + block % (shape.back_ends - 1);
@@ -52,12 +55,13 @@
                      [&](const SubsetMember& member) { return member.index == index; });
 }
 
-// Fills up to the least number of members, starting where other nodes of the same back end do not.
+// Adds spares up to the minimum number of members. The first candidate differs from block to block,
+// so that nodes that share a back end start with different spares.
 void AddSpares(const SubsetShape& shape, std::size_t start, std::size_t block,
                std::vector<SubsetMember>& members) {
   if (shape.back_ends < 2) return;
-  const std::size_t wanted = std::min(shape.back_ends, kLeastMembers);
-  for (std::size_t step = 0; members.size() < wanted; ++step) {
+  const std::size_t min_members = std::min(shape.back_ends, kMinMembers);
+  for (std::size_t step = 0; members.size() < min_members; ++step) {
     const std::size_t distance = 1 + (block + step) % (shape.back_ends - 1);
     const std::size_t index = (start + distance) % shape.back_ends;
     if (!Contains(members, index)) members.push_back({index, 0});
@@ -76,17 +80,18 @@
   if (shape.back_ends == 0) return {};
   const std::uint32_t slots = shape.slots_per_instance == 0 ? kUnbounded : shape.slots_per_instance;
   if (shape.connections_per_instance == 0) return UseAll(shape, slots);
-  const std::size_t kept = KeptConnections(shape.connections_per_instance);
-  const std::size_t size = SubsetSize(shape, kept);
-  const std::size_t sharers = NodesPerBackEnd(shape, size);
-  std::size_t share = std::min<std::size_t>(slots, kept / sharers);
+  const std::size_t max_kept = MaxKeptConnections(shape.connections_per_instance);
+  const std::size_t size = SubsetSize(shape, max_kept);
+  const std::size_t nodes_per_back_end = NodesPerBackEnd(shape, size);
+  std::size_t share = std::min<std::size_t>(slots, max_kept / nodes_per_back_end);
   if (size == shape.back_ends && share > 0) {
     return UseAll(shape, static_cast<std::uint32_t>(share));
   }
 
   const std::size_t block = shape.node_rank / shape.back_ends;
-  // More nodes than connections: those of the first blocks keep one, the others none.
-  if (share == 0) share = block < kept ? 1 : 0;
+  // With more nodes than connections, nodes of the first blocks keep one connection each, the
+  // others none.
+  if (share == 0) share = block < max_kept ? 1 : 0;
   const std::size_t offset = XXH3_64bits(site_key.data(), site_key.size()) % shape.back_ends;
   const std::size_t start = (offset + shape.node_rank) % shape.back_ends;
   const std::size_t stride = Stride(shape, block, size);
