--- a/src/routing/backoff.h
+++ b/src/routing/backoff.h
@@ -1,4 +1,4 @@
-// A time that doubles with each strike in a row.
+// Exponential backoff: a waiting time that doubles with each consecutive trigger.
 #pragma once
 
 #include <algorithm>
@@ -10,28 +10,34 @@
 // Not thread-safe.
 class Backoff {
  public:
-  // @param first time after one strike; doubles with each further one up to `longest`.
-  Backoff(Duration first, Duration longest) : first_(first), longest_(longest), next_(first) {}
+  // @param initial waiting time after the first trigger; each further one doubles it, up to
+  //        `maximum`.
+  Backoff(Duration initial, Duration maximum)
+      : initial_(initial), maximum_(maximum), next_(initial) {}
 
-  // Strikes during a running time are the same event seen by several requests and count once.
-  void Strike(Timestamp now) {
-    if (Running(now)) return;
-    until_ = now + next_;
-    next_ = std::min(next_ * 2, longest_);
+  // Starts the next waiting time. Triggers while one is active are ignored: they are the same event
+  // seen by several requests.
+  void Trigger(Timestamp now) {
+    if (IsActive(now)) return;
+    end_ = now + next_;
+    next_ = std::min(next_ * 2, maximum_);
   }
-  void Clear() {
-    until_ = Timestamp::min();
-    next_ = first_;
+  // Ends the waiting time; the next trigger starts with the initial one.
+  void Reset() {
+    end_ = Timestamp::min();
+    next_ = initial_;
   }
-  bool Running(Timestamp now) const { return now < until_; }
-  // The end of the last time; Timestamp::min() when there was none or it was cleared.
-  Timestamp until() const { return until_; }
+  // @return true until the current waiting time has passed.
+  bool IsActive(Timestamp now) const { return now < end_; }
+  // @return the end of the last waiting time; Timestamp::min() before the first trigger and after a
+  //         reset.
+  Timestamp end() const { return end_; }
 
  private:
-  Duration first_;
-  Duration longest_;
+  Duration initial_;
+  Duration maximum_;
   Duration next_;
-  Timestamp until_ = Timestamp::min();
+  Timestamp end_ = Timestamp::min();
 };
 
 }  // namespace copperlead
--- a/src/routing/ejection.cc
+++ b/src/routing/ejection.cc
@@ -2,9 +2,9 @@
 
 namespace copperlead {
 
-bool MayEject(std::size_t back_ends, std::size_t out, double limit) {
-  if (out + 1 >= back_ends) return false;
-  return static_cast<double>(out + 1) <= limit * static_cast<double>(back_ends);
+bool MayEject(std::size_t back_ends, std::size_t unavailable, double limit) {
+  if (unavailable + 1 >= back_ends) return false;
+  return static_cast<double>(unavailable + 1) <= limit * static_cast<double>(back_ends);
 }
 
 }  // namespace copperlead
--- a/src/routing/ejection.h
+++ b/src/routing/ejection.h
@@ -1,4 +1,4 @@
-// Passive ejection: a back end that keeps failing gets nothing for a while.
+// Passive ejection: a back end with repeated consecutive failures gets no requests for a while.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace copperlead {
 
-// One back end's failures in a row. Not thread-safe.
+// Counts the consecutive failures of one back end. Not thread-safe.
 class FailureStreak {
  public:
   void RecordSuccess() { failures_ = 0; }
@@ -20,10 +20,10 @@
     ejected_until_ = until;
     failures_ = 0;
   }
-  // A probe succeeded.
+  // Ends a current ejection after a successful probe.
   void EndEjection(Timestamp now) { ejected_until_ = std::min(ejected_until_, now); }
-  bool Ejected(Timestamp now) const { return now < ejected_until_; }
-  // The end of the last ejection; Timestamp::min() when there was none.
+  bool IsEjected(Timestamp now) const { return now < ejected_until_; }
+  // @return the end of the last ejection; Timestamp::min() when there was none.
   Timestamp ejected_until() const { return ejected_until_; }
 
  private:
@@ -31,12 +31,12 @@
   Timestamp ejected_until_ = Timestamp::min();
 };
 
-// The floor: however many fail, most of a site stays in use, since failures of all look the same
-// as a fault of this node's own network.
-// @param back_ends of the site in this node's subset, leaving ones not counted.
-// @param out of these, ejected or unreachable already.
-// @param limit largest share of the back ends that may be out.
+// Limits how many back ends of a site are ejected however many fail: failures of all of them can't
+// be told from a fault of this node's own network.
+// @param back_ends number of back ends of the site in this node's subset, without leaving ones.
+// @param unavailable number of these that are already ejected, draining or unreachable.
+// @param limit largest share of the back ends that may be unavailable.
 // @return true when one more may be ejected; at least one always stays.
-bool MayEject(std::size_t back_ends, std::size_t out, double limit);
+bool MayEject(std::size_t back_ends, std::size_t unavailable, double limit);
 
 }  // namespace copperlead
--- a/src/routing/endpoint_picker.h
+++ b/src/routing/endpoint_picker.h
@@ -1,4 +1,5 @@
-// Chooses a back end of a site: the less loaded of two drawn at random.
+// Chooses a back end of a site by the power of two choices: two are drawn at random and the less
+// loaded one is used.
 #pragma once
 
 #include <cstdint>
@@ -13,32 +14,40 @@
 
 namespace copperlead {
 
-// What the choice depends on beside the back ends.
+// Inputs of the choice other than the back ends themselves.
 struct PickFacts {
-  std::uint32_t slots_per_instance = 0;         // Most in flight at one of them; 0: no bound.
-  std::string_view zone;                        // Of this node; decides between equals.
-  Duration load_freshness{};                    // See RouterSettings.
-  Duration slow_start{};                        // See RouterSettings.
-  std::span<const EndpointState* const> tried;  // By this request.
-  bool may_return = false;                      // A tried one may be tried again.
+  std::uint32_t slots_per_instance =
+      0;                      // Limit of attempts in flight at one back end; 0: no limit.
+  std::string_view zone;      // This node's zone; preferred at equal load.
+  Duration load_freshness{};  // Same as in RouterSettings.
+  Duration slow_start{};      // Same as in RouterSettings.
+  std::span<const EndpointState* const> tried;  // Back ends that this request was sent to.
+  bool allow_tried = false;                     // A tried back end may be chosen again.
 };
 
 struct PickedEndpoint {
   const EndpointSlot* slot = nullptr;
-  bool keep_connection = true;  // Within the node's share of its connections.
-  bool probe = false;           // It is suspected to be gone and gets one request to find out.
+  bool keep_connection = true;  // The node's share of connections allows keeping it open.
+  bool probe = false;  // The request tests whether an unavailable back end is available again.
 };
 
-// Linear from 0 to 1 over the slow start of a back end that is new or back from ejection.
-double WarmShare(const EndpointState& state, Timestamp now, Duration slow_start);
+// @return the relative weight of a back end, 0.05 to 1. It rises linearly during the slow start of
+// a
+//         back end that is new or back from ejection.
+double SlowStartWeight(const EndpointState& state, Timestamp now, Duration slow_start);
 
-// Tiers, best first; within a tier the less loaded of two, cold ones drawn less often:
-//   1. within the node's share of connections, 2. over it (the connection is closed afterwards),
-//   3. shedding load, 4. tried before by this request,
-//   5. as a probe: ejected, or leaving by own evidence; only a request's first attempt, only where
-//   no back end is in use at all, and rarely (see EndpointState::next_probe). Own evidence may
-//   mislead: when all back ends shed for a moment, this finds their return without a long wait.
-// Never chosen: leaving by the list, or at the in-flight bound.
+// Back ends are sorted into tiers, best first. The less loaded of two drawn from the best tier is
+// chosen; back ends in slow start are drawn less often. The tiers are:
+//   1. back ends within the node's share of connections;
+//   2. back ends over that share, whose connection is closed after the answer;
+//   3. back ends that shed load;
+//   4. back ends that this request was sent to before;
+//   5. probes of back ends that are ejected, or leaving by this node's own evidence. A probe is
+//   made
+//      only by a request's first attempt, only where no back end is in use at all, and rarely (see
+//      EndpointState::next_probe). The node's evidence may be wrong: when all back ends shed load
+//      for a moment, probes notice their return without a long wait.
+// Back ends that leave by the platform's list or are at their in-flight limit are never chosen.
 // Not thread-safe (scratch space).
 class EndpointPicker {
  public:
--- a/src/routing/endpoint_state.h
+++ b/src/routing/endpoint_state.h
@@ -1,4 +1,4 @@
-// What this node knows of one back end from its own requests. It outlives snapshots.
+// State of one back end as observed by this node's own requests. It is kept across snapshots.
 #pragma once
 
 #include <cstdint>
@@ -17,12 +17,14 @@
 
 // Guarded by the RouterCore's mutex.
 struct EndpointState {
-  std::uint32_t in_flight = 0;  // This node's attempts on it.
-  // The newest snapshot lists it as live; sessions that began under an older one see it here.
+  std::uint32_t in_flight = 0;  // This node's attempts in flight at the back end.
+  // Whether the newest snapshot lists it as live. Sessions that started with an older snapshot read
+  // it here, too.
   bool listed_live = true;
-  // When it began to get requests; Timestamp::min(): before this node began to look.
+  // Time when it started to get requests; Timestamp::min() when it was among the first back ends of
+  // its service that this node saw.
   Timestamp first_seen = Timestamp::min();
-  // A back end out of use gets one request to find out no sooner than this.
+  // Earliest time of the next probe, while the back end is unavailable.
   Timestamp next_probe = Timestamp::min();
   LoadReport load;
   FailureStreak failures;
@@ -30,15 +32,16 @@
   Backoff shedding{Milliseconds(50), Milliseconds(1000)};
 };
 
-// A back end of a snapshot with its state.
+// A back end of a snapshot together with its state.
 struct EndpointSlot {
-  const Endpoint* endpoint = nullptr;  // Of the snapshot.
+  const Endpoint* endpoint = nullptr;  // Owned by the snapshot.
   std::shared_ptr<EndpointState> state;
 };
 
-// @return true when new work may go to it, as far as leaving goes.
-inline bool MayGetNewWork(const EndpointState& state, Timestamp now) {
-  return state.listed_live && !state.leaving.Leaving(now);
+// @return true unless the back end is leaving, by the list or by this node's evidence. Ejection and
+//         load are not considered.
+inline bool AcceptsNewWork(const EndpointState& state, Timestamp now) {
+  return state.listed_live && !state.leaving.IsLeaving(now);
 }
 
 }  // namespace copperlead
--- a/src/routing/fleet_share.cc
+++ b/src/routing/fleet_share.cc
@@ -20,15 +20,15 @@
   const auto live_nodes = static_cast<double>(live_nodes_);
   if (live_nodes >= divisor_) {
     divisor_ = live_nodes;
-    falls_from_ = now + kHold;
-    advanced_to_ = now;
+    decay_start_ = now + kHoldTime;
+    last_advance_ = now;
     return;
   }
-  const Timestamp start = std::max(falls_from_, advanced_to_);
+  const Timestamp start = std::max(decay_start_, last_advance_);
   if (now <= start) return;
   const std::chrono::duration<double, std::ratio<60>> minutes = now - start;
-  divisor_ = std::max(live_nodes, divisor_ * std::pow(1 - kFallPerMinute, minutes.count()));
-  advanced_to_ = now;
+  divisor_ = std::max(live_nodes, divisor_ * std::pow(1 - kDecayPerMinute, minutes.count()));
+  last_advance_ = now;
 }
 
 }  // namespace copperlead
--- a/src/routing/in_flight_limiter.h
+++ b/src/routing/in_flight_limiter.h
@@ -1,4 +1,4 @@
-// A node's part of a fleet limit in requests in flight.
+// Enforces a node's part of a fleet-wide limit of requests in flight.
 #pragma once
 
 #include <cstddef>
@@ -8,12 +8,13 @@
 
 namespace copperlead {
 
-// The limit is divided evenly; what does not divide goes to the lowest ranks, one each, so the
-// parts add up to the limit exactly. Where nodes outnumber the limit the higher ranks have no part:
-// a part that wandered would be exceeded by requests that outlast its stay. Not thread-safe.
+// The limit is divided evenly and the remainder goes to the lowest ranks, one each, so that the
+// parts add up to the limit exactly. Where nodes outnumber the limit, the higher ranks have no
+// part: if a part moved from node to node, requests that are still running when it moves on would
+// exceed the limit. Not thread-safe.
 class InFlightLimiter {
  public:
-  // @param limit of the fleet; 0: none.
+  // @param limit fleet-wide limit; 0: no limit.
   // @return true when the request may pass; Release() must follow when it ends.
   bool TryAcquire(std::uint32_t limit, const FleetShare& share);
   void Release();
--- a/src/routing/leaving_evidence.cc
+++ b/src/routing/leaving_evidence.cc
@@ -10,9 +10,9 @@
   return head.closes_connection ? RefusalKind::kDraining : RefusalKind::kShedding;
 }
 
-void LeavingEvidence::RecordAnswer(Timestamp now, bool tried_anew) {
-  if (tried_anew || !draining_.Running(now)) draining_.Clear();
-  if (tried_anew || !unreachable_.Running(now)) unreachable_.Clear();
+void LeavingEvidence::RecordAnswer(Timestamp now, bool is_probe) {
+  if (is_probe || !draining_.IsActive(now)) draining_.Reset();
+  if (is_probe || !unreachable_.IsActive(now)) unreachable_.Reset();
 }
 
 }  // namespace copperlead
--- a/src/routing/leaving_evidence.h
+++ b/src/routing/leaving_evidence.h
@@ -1,4 +1,4 @@
-// The node's own evidence that a back end leaves, which comes before the platform's list does.
+// The node's own evidence that a back end is leaving, available before the platform's list says so.
 #pragma once
 
 #include "base/time.h"
@@ -9,22 +9,26 @@
 
 enum class RefusalKind { kShedding, kDraining };
 
-// A back end that refuses although it has free slots, or that closes the connection with a refusal
-// and reports no load, drains. One that reports all slots taken sheds load: a passing state.
+// Classifies a refusal. A back end that refuses although it reports free slots, or that closes the
+// connection with a refusal and reports no load, is draining. Any other refusal is load shedding,
+// which is temporary.
 RefusalKind ClassifyRefusal(const AnswerHead& head);
 
-// What one back end did. Not thread-safe.
+// Evidence about one back end. Not thread-safe.
 class LeavingEvidence {
  public:
-  void RecordDraining(Timestamp now) { draining_.Strike(now); }
-  void RecordConnectFailed(Timestamp now) { unreachable_.Strike(now); }
-  // An answer that is no refusal. While a suspicion runs it proves nothing: requests sent before a
-  // drain began go on to be answered, and a kept connection outlives its listener.
-  // @param tried_anew the request was sent, on a new connection, in spite of the suspicion.
-  void RecordAnswer(Timestamp now, bool tried_anew);
-
-  // Nothing new goes to it.
-  bool Leaving(Timestamp now) const { return draining_.Running(now) || unreachable_.Running(now); }
+  void RecordDraining(Timestamp now) { draining_.Trigger(now); }
+  void RecordConnectFailed(Timestamp now) { unreachable_.Trigger(now); }
+  // Records an answer that is not a refusal. While there is evidence of leaving, only the answer to
+  // a probe clears it: requests sent before a drain began are still answered, and a kept connection
+  // outlives the listener.
+  // @param is_probe true when the request was sent as a probe, on a new connection.
+  void RecordAnswer(Timestamp now, bool is_probe);
+
+  // @return true while the back end should get no new requests.
+  bool IsLeaving(Timestamp now) const {
+    return draining_.IsActive(now) || unreachable_.IsActive(now);
+  }
 
  private:
   Backoff draining_{std::chrono::seconds(5), std::chrono::seconds(20)};
--- a/src/routing/request_session.cc
+++ b/src/routing/request_session.cc
@@ -8,48 +8,48 @@
 namespace copperlead {
 namespace {
 
-AttemptEnd EndOf(AttemptFailure failure) {
+AttemptResult ToAttemptResult(AttemptFailure failure) {
   switch (failure) {
     case AttemptFailure::kConnectFailed:
-      return AttemptEnd::kConnectFailed;
+      return AttemptResult::kConnectFailed;
     case AttemptFailure::kNothingWritten:
-      return AttemptEnd::kNothingWritten;
+      return AttemptResult::kNothingWritten;
     case AttemptFailure::kLostAfterWrite:
-      return AttemptEnd::kLostAfterWrite;
+      return AttemptResult::kLostAfterWrite;
     case AttemptFailure::kTimeoutAfterWrite:
-      return AttemptEnd::kTimeoutAfterWrite;
+      return AttemptResult::kTimeoutAfterWrite;
     case AttemptFailure::kDeadlineAfterWrite:
-      return AttemptEnd::kDeadlineAfterWrite;
+      return AttemptResult::kDeadlineAfterWrite;
     case AttemptFailure::kCallerGone:
-      return AttemptEnd::kCallerGone;
+      return AttemptResult::kCallerGone;
   }
-  return AttemptEnd::kLostAfterWrite;
+  return AttemptResult::kLostAfterWrite;
 }
 
-AttemptEnd EndOf(const AnswerHead& head) {
-  if (!head.says_not_run) return AttemptEnd::kAnswered;
-  const bool passing = head.status >= 500 || head.status == 429;
-  return passing ? AttemptEnd::kRefused : AttemptEnd::kAnsweredNotRun;
+AttemptResult ToAttemptResult(const AnswerHead& head) {
+  if (!head.says_not_run) return AttemptResult::kAnswered;
+  const bool temporary = head.status >= 500 || head.status == 429;
+  return temporary ? AttemptResult::kRefused : AttemptResult::kAnsweredNotRun;
 }
 
-std::string CauseOf(AttemptEnd end, const std::string& back_end) {
-  switch (end) {
-    case AttemptEnd::kConnectFailed:
-      return back_end + " took no connection";
-    case AttemptEnd::kNothingWritten:
+std::string DescribeCause(AttemptResult result, const std::string& back_end) {
+  switch (result) {
+    case AttemptResult::kConnectFailed:
+      return back_end + " did not accept a connection";
+    case AttemptResult::kNothingWritten:
       return back_end + " closed the connection before the request was written";
-    case AttemptEnd::kLostAfterWrite:
+    case AttemptResult::kLostAfterWrite:
       return "the connection to " + back_end + " failed after the request was sent";
-    case AttemptEnd::kTimeoutAfterWrite:
+    case AttemptResult::kTimeoutAfterWrite:
       return back_end + " made no progress within the route's timeout";
-    case AttemptEnd::kDeadlineAfterWrite:
-      return "the caller's deadline passed while " + back_end + " had the request";
-    case AttemptEnd::kCallerGone:
-      return "the caller left";
-    case AttemptEnd::kRefused:
-    case AttemptEnd::kAnsweredNotRun:
-      return back_end + " said that it did not run the request";
-    case AttemptEnd::kAnswered:
+    case AttemptResult::kDeadlineAfterWrite:
+      return "the caller's deadline passed before " + back_end + " answered";
+    case AttemptResult::kCallerGone:
+      return "the caller disconnected";
+    case AttemptResult::kRefused:
+    case AttemptResult::kAnsweredNotRun:
+      return back_end + " reported that it did not run the request";
+    case AttemptResult::kAnswered:
       break;
   }
   return back_end + " answered";
@@ -68,7 +68,7 @@
   deadline_ = Deadline(now, facts_.time_left);
   if (auto refusal = FindRoute(now)) return *std::move(refusal);
   if (const auto kind = core_->Acquire(now, *route_)) {
-    return Refuse(*kind, "this node's part of the limit of " + route_->row->route + " is used up");
+    return Refuse(*kind, "this node's share of the limit of " + route_->row->route + " is used up");
   }
   holds_limits_ = true;
   repeatable_ = IsRepeatable(route_->row->repeatable, facts_.method);
@@ -84,50 +84,53 @@
 
 std::optional<AnswerError> RoutedSession::FindRoute(Timestamp now) {
   Admission admission = core_->Admit(now);
-  if (admission.draining) return Refuse(ErrorKind::kDraining, "this node is stopping");
-  if (!admission.view) return Refuse(ErrorKind::kNotReady, "this node has no table yet");
+  if (admission.draining) return Refuse(ErrorKind::kDraining, "this node is draining");
+  if (!admission.view)
+    return Refuse(ErrorKind::kNotReady, "this node has not received a table yet");
   view_ = std::move(admission.view);
   if (!NormalizePath(facts_.path, path_)) {
-    return Refuse(ErrorKind::kBadRequest, "the path is malformed or leaves its root");
+    return Refuse(ErrorKind::kBadRequest, "the path is malformed or leads above its root");
   }
   route_ = view_->Match(path_);
   if (route_ == nullptr) return Refuse(ErrorKind::kNoRoute, "no route matches the path");
   if (route_->service == nullptr) {
-    return Refuse(ErrorKind::kNoEndpoint, "service " + route_->row->service + " is not known");
+    return Refuse(ErrorKind::kNoEndpoint, "service " + route_->row->service + " is unknown");
   }
-  if (deadline_.Over(now)) {
+  if (deadline_.HasPassed(now)) {
     return Refuse(ErrorKind::kDeadlineBeforeSend, "the caller's deadline has passed");
   }
   return std::nullopt;
 }
 
 RequestAction RoutedSession::OnFailure(Timestamp now, AttemptFailure failure) {
-  if (!chosen_) return Refuse(ErrorKind::kInternal, "an attempt failed that was not made");
-  const AttemptEnd end = EndOf(failure);
-  // A kept connection that its back end had closed: nobody has seen the request, so sending it
-  // there anew is no retry. Once, or a back end that resets each connection would be asked for
-  // ever.
-  if (end == AttemptEnd::kNothingWritten && MayReconnect(now)) {
+  if (!chosen_)
+    return Refuse(ErrorKind::kInternal, "failure reported without an attempt in progress");
+  const AttemptResult result = ToAttemptResult(failure);
+  // The back end had closed a kept connection and can't have seen the request, so sending it there
+  // again doesn't count as a retry. This is done once: a back end that resets each connection would
+  // otherwise be tried forever.
+  if (result == AttemptResult::kNothingWritten && MayReconnect(now)) {
     reconnected_ = true;
     idle_connection_allowed_ = false;
     return MakeAttempt(now);
   }
-  const RetryVerdict verdict = core_->policy().Judge(end, FactsForRetry());
-  core_->EndAttempt(now, *chosen_, end, nullptr);
-  return RetryOrAnswer(now, end, verdict, nullptr);
+  const RetryDecision decision = core_->policy().Decide(result, FactsForRetry());
+  core_->EndAttempt(now, *chosen_, result, nullptr);
+  return RetryOrAnswer(now, result, decision, nullptr);
 }
 
 bool RoutedSession::MayReconnect(Timestamp now) const {
-  return !reconnected_ && !deadline_.Over(now) && core_->MayStillUse(now, *chosen_);
+  return !reconnected_ && !deadline_.HasPassed(now) && core_->IsStillUsable(now, *chosen_);
 }
 
 RequestAction RoutedSession::OnAnswer(Timestamp now, const AnswerHead& head) {
-  if (!chosen_) return Refuse(ErrorKind::kInternal, "an answer came to an attempt not made");
-  const AttemptEnd end = EndOf(head);
-  const RetryVerdict verdict = core_->policy().Judge(end, FactsForRetry());
-  core_->EndAttempt(now, *chosen_, end, &head);
-  if (verdict.step == RetryStep::kRelay) return RelayAnswer{};
-  return RetryOrAnswer(now, end, verdict, &head);
+  if (!chosen_)
+    return Refuse(ErrorKind::kInternal, "answer received without an attempt in progress");
+  const AttemptResult result = ToAttemptResult(head);
+  const RetryDecision decision = core_->policy().Decide(result, FactsForRetry());
+  core_->EndAttempt(now, *chosen_, result, &head);
+  if (decision.step == RetryStep::kRelay) return RelayAnswer{};
+  return RetryOrAnswer(now, result, decision, &head);
 }
 
 void RoutedSession::OnFinished(Timestamp /*now*/, bool /*whole*/) { ReleaseAll(); }
@@ -138,13 +141,13 @@
   facts.repeatable = repeatable_;
   facts.body_can_be_resent = facts_.body_can_be_resent;
   facts.already_retried = facts_.already_retried;
-  facts.doubt = doubt_;
+  facts.unknown_kind = unknown_kind_;
   facts.retries_left = allowed - std::min(allowed, attempts_ - 1);
   return facts;
 }
 
-bool RoutedSession::ChooseEndpoint(Timestamp now, bool may_return) {
-  choice_.may_return = may_return;
+bool RoutedSession::ChooseEndpoint(Timestamp now, bool allow_tried) {
+  choice_.allow_tried = allow_tried;
   chosen_ = core_->Choose(now, *view_, choice_);
   if (!chosen_) return false;
   choice_.tried.push_back(chosen_->slot.state.get());
@@ -155,8 +158,8 @@
   SendAttempt attempt;
   attempt.endpoint = *chosen_->slot.endpoint;
   attempt.progress_timeout = Milliseconds(route_->row->timeout_ms);
-  attempt.time_left = deadline_.Left(now);
-  // Below a node that has retried, this one's first attempt still tells nodes further down so.
+  attempt.time_left = deadline_.TimeLeft(now);
+  // After a retry upstream, the first attempt of this node already tells nodes downstream about it.
   attempt.attempt = facts_.already_retried ? attempts_ + 1 : attempts_;
   attempt.allow_idle_connection = idle_connection_allowed_;
   attempt.secret = route_->secret;
@@ -165,36 +168,38 @@
   return attempt;
 }
 
-RequestAction RoutedSession::RetryOrAnswer(Timestamp now, AttemptEnd end,
-                                           const RetryVerdict& verdict, const AnswerHead* head) {
+RequestAction RoutedSession::RetryOrAnswer(Timestamp now, AttemptResult result,
+                                           const RetryDecision& decision, const AnswerHead* head) {
   const ChosenEndpoint ended = *std::exchange(chosen_, std::nullopt);
   if (head != nullptr) core_->FreeSlot(ended);
-  if (verdict.outcome_unknown && !doubt_) doubt_ = verdict.kind;
-  std::string cause = CauseOf(end, ended.slot.endpoint->id);
-  if (verdict.step != RetryStep::kRetry) return GiveUp(verdict, std::move(cause), head);
-  if (deadline_.Over(now)) {
-    RetryVerdict over = verdict;
-    over.kind = doubt_ ? ErrorKind::kDeadlineAfterSend : ErrorKind::kDeadlineBeforeSend;
-    return GiveUp(over, cause + "; the caller's deadline has passed", nullptr);
+  if (decision.outcome_unknown && !unknown_kind_) unknown_kind_ = decision.kind;
+  std::string cause = DescribeCause(result, ended.slot.endpoint->id);
+  if (decision.step != RetryStep::kRetry) return GiveUp(decision, std::move(cause), head);
+  if (deadline_.HasPassed(now)) {
+    RetryDecision decision_after_deadline = decision;
+    decision_after_deadline.kind =
+        unknown_kind_ ? ErrorKind::kDeadlineAfterSend : ErrorKind::kDeadlineBeforeSend;
+    return GiveUp(decision_after_deadline, cause + "; the caller's deadline has passed", nullptr);
   }
-  // A back end that refuses or takes no connection is not asked again by the same request.
-  const bool may_return = end != AttemptEnd::kConnectFailed && end != AttemptEnd::kRefused;
-  if (!ChooseEndpoint(now, may_return)) return GiveUp(verdict, std::move(cause), head);
-  if (!core_->TakeRetry(now)) {
+  // A request isn't sent again to a back end that refused it or did not accept a connection.
+  const bool allow_tried =
+      result != AttemptResult::kConnectFailed && result != AttemptResult::kRefused;
+  if (!ChooseEndpoint(now, allow_tried)) return GiveUp(decision, std::move(cause), head);
+  if (!core_->TrySpendRetry(now)) {
     core_->FreeSlot(*std::exchange(chosen_, std::nullopt));
-    return GiveUp(verdict, std::move(cause), head);
+    return GiveUp(decision, std::move(cause), head);
   }
   ++attempts_;
   idle_connection_allowed_ = false;
   return MakeAttempt(now);
 }
 
-RequestAction RoutedSession::GiveUp(const RetryVerdict& verdict, std::string cause,
+RequestAction RoutedSession::GiveUp(const RetryDecision& decision, std::string cause,
                                     const AnswerHead* head) {
   AnswerError answer;
-  answer.kind = verdict.kind;
+  answer.kind = decision.kind;
   answer.cause = std::move(cause);
-  if (head != nullptr && head->retry_after_seconds && IsNotRun(verdict.kind)) {
+  if (head != nullptr && head->retry_after_seconds && IsNotRun(decision.kind)) {
     answer.retry_after_seconds = std::max(1U, *head->retry_after_seconds);
   }
   return AnswerAndRelease(std::move(answer));
--- a/src/routing/request_session.h
+++ b/src/routing/request_session.h
@@ -1,4 +1,4 @@
-// One request on its way through the router: which attempt it is at, and what may still be said.
+// The state of one request in the router: its current attempt, and whether its outcome is unknown.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 namespace copperlead {
 
-// Composes the policies for one request; the shared state is the core's. Used by one thread.
+// Applies the policies to one request; RouterCore holds the shared state. Used by one thread.
 class RoutedSession : public RequestSession {
  public:
   RoutedSession(std::shared_ptr<RouterCore> core, RequestFacts facts);
@@ -27,34 +27,35 @@
   void OnFinished(Timestamp now, bool whole) override;
 
  private:
-  // @return why the request is refused before any attempt; nothing when it may be sent.
+  // @return the refusal of the request before any attempt; nothing when it may be sent.
   std::optional<AnswerError> FindRoute(Timestamp now);
-  // @return true when the same attempt may be sent once more on a new connection.
+  // @return true when the same attempt may be sent again on a new connection.
   bool MayReconnect(Timestamp now) const;
   RetryFacts FactsForRetry() const;
-  // Takes a back end for the next attempt. @return false when there is none.
-  bool ChooseEndpoint(Timestamp now, bool may_return);
+  // Chooses the back end of the next attempt. @return false when there is none.
+  bool ChooseEndpoint(Timestamp now, bool allow_tried);
   SendAttempt MakeAttempt(Timestamp now) const;
-  // Sends the request again, or gives the verdict's answer.
-  RequestAction RetryOrAnswer(Timestamp now, AttemptEnd end, const RetryVerdict& verdict,
+  // Sends the request again, or returns the decision's answer.
+  RequestAction RetryOrAnswer(Timestamp now, AttemptResult result, const RetryDecision& decision,
                               const AnswerHead* head);
-  RequestAction GiveUp(const RetryVerdict& verdict, std::string cause, const AnswerHead* head);
+  RequestAction GiveUp(const RetryDecision& decision, std::string cause, const AnswerHead* head);
   AnswerError Refuse(ErrorKind kind, std::string cause);
   AnswerError AnswerAndRelease(AnswerError answer);
-  // Gives back whatever is held. Repeatable.
+  // Releases all limits and slots that are held. May be called repeatedly.
   void ReleaseAll();
 
   const std::shared_ptr<RouterCore> core_;
   const RequestFacts facts_;
-  std::string path_;  // Normalized.
+  std::string path_;  // Normalized path.
   RouterViewPointer view_;
   const RouteView* route_ = nullptr;
   Deadline deadline_;
-  std::optional<ChosenEndpoint> chosen_;  // Holds an in-flight slot.
+  std::optional<ChosenEndpoint>
+      chosen_;  // Back end of the current attempt; holds an in-flight slot.
   ChoiceFacts choice_;
   bool holds_limits_ = false;
   bool repeatable_ = false;
-  std::optional<ErrorKind> doubt_;  // See RetryFacts.
+  std::optional<ErrorKind> unknown_kind_;  // Same as in RetryFacts.
   bool reconnected_ = false;
   bool idle_connection_allowed_ = false;
   std::uint32_t attempts_ = 0;
--- a/src/routing/retry_budget.cc
+++ b/src/routing/retry_budget.cc
@@ -18,7 +18,7 @@
 
 void RetryBudget::CountRequest(Timestamp now) { ++At(now).requests; }
 
-bool RetryBudget::TakeRetry(Timestamp now) {
+bool RetryBudget::TrySpendRetry(Timestamp now) {
   Second& current = At(now);
   std::uint64_t requests = 0;
   std::uint64_t retries = 0;
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -1,5 +1,5 @@
-// Bounds retries to a share of live traffic, so that a failing service does not get a multiple of
-// its load just when it can bear least.
+// Limits retries to a share of the requests, so that they don't multiply the load of a service that
+// is already failing.
 #pragma once
 
 #include <array>
@@ -12,13 +12,13 @@
 // Counts requests and retries in ten one-second buckets. Not thread-safe.
 class RetryBudget {
  public:
-  // @param share of the last ten seconds' requests that may be retries.
-  // @param floor retries that each second allows whatever the share.
+  // @param share retries allowed, as a share of the requests of the last ten seconds.
+  // @param floor retries allowed in each second regardless of the share.
   RetryBudget(double share, std::uint32_t floor) : share_(share), floor_(floor) {}
 
   void CountRequest(Timestamp now);
-  // @return true, and counts the retry, when the budget allows it.
-  bool TakeRetry(Timestamp now);
+  // @return true, having counted the retry, when the budget allows it.
+  bool TrySpendRetry(Timestamp now);
 
  private:
   struct Second {
--- a/src/routing/retry_policy.cc
+++ b/src/routing/retry_policy.cc
@@ -6,41 +6,42 @@
 namespace copperlead {
 namespace {
 
-// What an attempt's end proves about the back end.
+// What an attempt's result proves about whether the request ran.
 enum class Proof : std::uint8_t { kNotRun, kUnknown, kAnswer };
 
-struct EndRule {
-  AttemptEnd end;
+struct ResultRule {
+  AttemptResult result;
   Proof proof;
-  ErrorKind kind;      // The answer when this attempt is the last and no earlier doubt exists.
-  bool may_retry;      // Another attempt can help.
-  bool body_is_spent;  // A streamed body was, or may have been, read from the caller.
+  ErrorKind kind;  // The answer when this attempt is the last and no earlier outcome is unknown.
+  bool may_retry;  // Another attempt may succeed.
+  bool body_consumed;  // A streamed body was, or may have been, read from the caller.
 };
 
-// In the order of the enumeration; checked below.
-constexpr std::array<EndRule, 9> kRules = {{
-    {AttemptEnd::kConnectFailed, Proof::kNotRun, ErrorKind::kConnectFailed, true, false},
-    {AttemptEnd::kNothingWritten, Proof::kNotRun, ErrorKind::kConnectFailed, true, false},
-    {AttemptEnd::kLostAfterWrite, Proof::kUnknown, ErrorKind::kConnectionLost, true, true},
-    {AttemptEnd::kTimeoutAfterWrite, Proof::kUnknown, ErrorKind::kResponseTimeout, true, true},
-    {AttemptEnd::kDeadlineAfterWrite, Proof::kUnknown, ErrorKind::kDeadlineAfterSend, false, true},
-    {AttemptEnd::kCallerGone, Proof::kUnknown, ErrorKind::kCallerGone, false, true},
-    {AttemptEnd::kRefused, Proof::kNotRun, ErrorKind::kBackendRefused, true, true},
-    {AttemptEnd::kAnsweredNotRun, Proof::kNotRun, ErrorKind::kBackendRefused, false, true},
-    {AttemptEnd::kAnswered, Proof::kAnswer, ErrorKind::kInternal, false, true},
+// Rules in the order of the enumeration, which a static_assert below checks.
+constexpr std::array<ResultRule, 9> kRules = {{
+    {AttemptResult::kConnectFailed, Proof::kNotRun, ErrorKind::kConnectFailed, true, false},
+    {AttemptResult::kNothingWritten, Proof::kNotRun, ErrorKind::kConnectFailed, true, false},
+    {AttemptResult::kLostAfterWrite, Proof::kUnknown, ErrorKind::kConnectionLost, true, true},
+    {AttemptResult::kTimeoutAfterWrite, Proof::kUnknown, ErrorKind::kResponseTimeout, true, true},
+    {AttemptResult::kDeadlineAfterWrite, Proof::kUnknown, ErrorKind::kDeadlineAfterSend, false,
+     true},
+    {AttemptResult::kCallerGone, Proof::kUnknown, ErrorKind::kCallerGone, false, true},
+    {AttemptResult::kRefused, Proof::kNotRun, ErrorKind::kBackendRefused, true, true},
+    {AttemptResult::kAnsweredNotRun, Proof::kNotRun, ErrorKind::kBackendRefused, false, true},
+    {AttemptResult::kAnswered, Proof::kAnswer, ErrorKind::kInternal, false, true},
 }};
 
-constexpr bool RulesFollowTheEnumeration() {
+constexpr bool RulesAreInEnumOrder() {
   for (std::size_t index = 0; index < kRules.size(); ++index) {
-    if (static_cast<std::size_t>(kRules[index].end) != index) return false;
+    if (static_cast<std::size_t>(kRules[index].result) != index) return false;
   }
   return true;
 }
-static_assert(RulesFollowTheEnumeration());
+static_assert(RulesAreInEnumOrder());
 
-bool MayRetry(const EndRule& rule, const RetryFacts& facts) {
+bool MayRetry(const ResultRule& rule, const RetryFacts& facts) {
   if (!rule.may_retry || facts.already_retried || facts.retries_left == 0) return false;
-  if (rule.body_is_spent && !facts.body_can_be_resent) return false;
+  if (rule.body_consumed && !facts.body_can_be_resent) return false;
   return rule.proof == Proof::kNotRun || facts.repeatable;
 }
 
@@ -53,23 +54,23 @@
   return std::find(kIdempotent.begin(), kIdempotent.end(), method) != kIdempotent.end();
 }
 
-RetryVerdict StandardRetryPolicy::Judge(AttemptEnd end, const RetryFacts& facts) const {
-  const EndRule& rule = kRules[static_cast<std::size_t>(end)];
-  RetryVerdict verdict;
-  verdict.kind = rule.kind;
-  verdict.outcome_unknown = rule.proof == Proof::kUnknown;
+RetryDecision StandardRetryPolicy::Decide(AttemptResult result, const RetryFacts& facts) const {
+  const ResultRule& rule = kRules[static_cast<std::size_t>(result)];
+  RetryDecision decision;
+  decision.kind = rule.kind;
+  decision.outcome_unknown = rule.proof == Proof::kUnknown;
   if (rule.proof == Proof::kAnswer) {
-    verdict.step = RetryStep::kRelay;
-    return verdict;
+    decision.step = RetryStep::kRelay;
+    return decision;
   }
   if (MayRetry(rule, facts)) {
-    verdict.step = RetryStep::kRetry;
-  } else if (end == AttemptEnd::kAnsweredNotRun && !facts.doubt) {
-    verdict.step = RetryStep::kRelay;
+    decision.step = RetryStep::kRetry;
+  } else if (result == AttemptResult::kAnsweredNotRun && !facts.unknown_kind) {
+    decision.step = RetryStep::kRelay;
   }
-  // Another attempt's "not run" says nothing about the earlier one.
-  if (facts.doubt && rule.proof == Proof::kNotRun) verdict.kind = *facts.doubt;
-  return verdict;
+  // That this attempt was not run proves nothing about an earlier one.
+  if (facts.unknown_kind && rule.proof == Proof::kNotRun) decision.kind = *facts.unknown_kind;
+  return decision;
 }
 
 }  // namespace copperlead
--- a/src/routing/router_core.cc
+++ b/src/routing/router_core.cc
@@ -8,10 +8,11 @@
 namespace copperlead {
 namespace {
 
-// Between two requests that find out whether a back end out of use is back.
+// Minimum time between two probes of an unavailable back end.
 constexpr Duration kProbeInterval = Milliseconds(250);
 
-// Live nodes by the platform's list, which a partition between nodes does not shorten.
+// @return the number of live nodes in the platform's list, which a partition between nodes does not
+//         reduce.
 std::size_t CountListedNodes(const RoutingSnapshot& snapshot) {
   if (!snapshot.machines) return 0;
   const auto& machines = snapshot.machines->machines;
@@ -21,12 +22,12 @@
       }));
 }
 
-bool AnyMayGetNewWork(const std::vector<EndpointSlot>& site, Timestamp now) {
+bool AnyAcceptsNewWork(const std::vector<EndpointSlot>& site, Timestamp now) {
   return std::any_of(site.begin(), site.end(),
-                     [&](const EndpointSlot& slot) { return MayGetNewWork(*slot.state, now); });
+                     [&](const EndpointSlot& slot) { return AcceptsNewWork(*slot.state, now); });
 }
 
-// An answer by which a back end, or one behind it, says that it does not work.
+// @return true for an answer that reports a fault of the back end or of a server behind it.
 bool IsGatewayFailure(int status) { return status >= 502 && status <= 504; }
 
 }  // namespace
@@ -104,7 +105,7 @@
   if (!limits.in_flight.TryAcquire(route.row->max_in_flight, share)) {
     return ErrorKind::kInFlightLimited;
   }
-  if (!limits.rate.TryTake(now, route.row->requests_per_second, share)) {
+  if (!limits.rate.TryAcquire(now, route.row->requests_per_second, share)) {
     limits.in_flight.Release();
     return ErrorKind::kRateLimited;
   }
@@ -127,13 +128,13 @@
   pick_facts.load_freshness = settings_.load_freshness;
   pick_facts.slow_start = settings_.slow_start;
   pick_facts.tried = facts.tried;
-  pick_facts.may_return = facts.may_return;
+  pick_facts.allow_tried = facts.allow_tried;
 
   const std::lock_guard lock(mutex_);
-  const SiteAvailability available = {AnyMayGetNewWork(service.old_site, now),
-                                      AnyMayGetNewWork(service.new_site, now)};
+  const SiteAvailability available = {AnyAcceptsNewWork(service.old_site, now),
+                                      AnyAcceptsNewWork(service.new_site, now)};
   auto site = ChooseSite(*facts.route->row, facts.split_share, available);
-  // Without any usable back end one may be probed, at the request's own site.
+  // When neither site is available, a back end of the request's own site may be probed.
   if (!site) site = ChooseSite(*facts.route->row, facts.split_share, {true, true});
   if (!site) return std::nullopt;
   const auto picked = picker_.Pick(now, service.At(*site), pick_facts);
@@ -143,45 +144,45 @@
   return ChosenEndpoint{*picked->slot, &service.At(*site), picked->keep_connection, picked->probe};
 }
 
-void RouterCore::EndAttempt(Timestamp now, const ChosenEndpoint& chosen, AttemptEnd end,
+void RouterCore::EndAttempt(Timestamp now, const ChosenEndpoint& chosen, AttemptResult result,
                             const AnswerHead* head) {
   const std::lock_guard lock(mutex_);
   EndpointState& state = *chosen.slot.state;
-  switch (end) {
-    case AttemptEnd::kConnectFailed:
+  switch (result) {
+    case AttemptResult::kConnectFailed:
       state.leaving.RecordConnectFailed(now);
       break;
-    case AttemptEnd::kLostAfterWrite:
-    case AttemptEnd::kTimeoutAfterWrite:
+    case AttemptResult::kLostAfterWrite:
+    case AttemptResult::kTimeoutAfterWrite:
       RecordFailure(now, chosen);
       break;
-    case AttemptEnd::kNothingWritten:      // A kept connection grew old: says little.
-    case AttemptEnd::kDeadlineAfterWrite:  // The caller's doing, as is the next.
-    case AttemptEnd::kCallerGone:
+    case AttemptResult::kNothingWritten:  // An idle connection had been closed: no sign of a fault.
+    case AttemptResult::kDeadlineAfterWrite:  // Caused by the caller, like the next one.
+    case AttemptResult::kCallerGone:
       break;
-    case AttemptEnd::kRefused:
-    case AttemptEnd::kAnsweredNotRun:
-    case AttemptEnd::kAnswered:
-      RecordHead(now, chosen, end, *head);
+    case AttemptResult::kRefused:
+    case AttemptResult::kAnsweredNotRun:
+    case AttemptResult::kAnswered:
+      RecordHead(now, chosen, result, *head);
       return;
   }
   --state.in_flight;
 }
 
-void RouterCore::RecordHead(Timestamp now, const ChosenEndpoint& chosen, AttemptEnd end,
+void RouterCore::RecordHead(Timestamp now, const ChosenEndpoint& chosen, AttemptResult result,
                             const AnswerHead& head) {
   EndpointState& state = *chosen.slot.state;
   if (head.load_in_flight) state.load.Record(now, *head.load_in_flight, state.in_flight);
-  if (end == AttemptEnd::kRefused) {
+  if (result == AttemptResult::kRefused) {
     if (ClassifyRefusal(head) == RefusalKind::kDraining) {
       state.leaving.RecordDraining(now);
     } else {
-      state.shedding.Strike(now);
+      state.shedding.Trigger(now);
     }
     return;
   }
   state.leaving.RecordAnswer(now, chosen.probe);
-  state.shedding.Clear();
+  state.shedding.Reset();
   if (IsGatewayFailure(head.status)) {
     RecordFailure(now, chosen);
   } else {
@@ -193,15 +194,15 @@
 void RouterCore::RecordFailure(Timestamp now, const ChosenEndpoint& chosen) {
   FailureStreak& failures = chosen.slot.state->failures;
   failures.RecordFailure();
-  if (failures.Ejected(now) || failures.failures() < settings_.ejection_failures) return;
+  if (failures.IsEjected(now) || failures.failures() < settings_.ejection_failures) return;
   std::size_t back_ends = 0;
-  std::size_t out = 0;
+  std::size_t unavailable = 0;
   for (const EndpointSlot& slot : *chosen.site) {
     if (!slot.state->listed_live) continue;
     ++back_ends;
-    if (slot.state->failures.Ejected(now) || slot.state->leaving.Leaving(now)) ++out;
+    if (slot.state->failures.IsEjected(now) || slot.state->leaving.IsLeaving(now)) ++unavailable;
   }
-  if (!MayEject(back_ends, out, settings_.ejection_limit)) return;
+  if (!MayEject(back_ends, unavailable, settings_.ejection_limit)) return;
   failures.Eject(now + settings_.ejection_time);
   ++counters_.ejections;
 }
@@ -211,14 +212,14 @@
   --chosen.slot.state->in_flight;
 }
 
-bool RouterCore::MayStillUse(Timestamp now, const ChosenEndpoint& chosen) const {
+bool RouterCore::IsStillUsable(Timestamp now, const ChosenEndpoint& chosen) const {
   const std::lock_guard lock(mutex_);
-  return MayGetNewWork(*chosen.slot.state, now);
+  return AcceptsNewWork(*chosen.slot.state, now);
 }
 
-bool RouterCore::TakeRetry(Timestamp now) {
+bool RouterCore::TrySpendRetry(Timestamp now) {
   const std::lock_guard lock(mutex_);
-  if (!budget_.TakeRetry(now)) {
+  if (!budget_.TrySpendRetry(now)) {
     ++counters_.retries_denied;
     return false;
   }
--- a/src/routing/router_core.h
+++ b/src/routing/router_core.h
@@ -1,6 +1,6 @@
-// The state that all requests of a node share, behind one mutex: limits, back ends, budget,
-// counters. A second one keeps publishers apart while they prepare a view. Sessions hold the
-// per-request part.
+// The state that all requests of a node share, guarded by one mutex: limits, back ends, retry
+// budget and counters. A second mutex serializes publishers while they prepare a view. Sessions
+// hold the state of each request.
 #pragma once
 
 #include <cstdint>
@@ -17,26 +17,27 @@
 
 namespace copperlead {
 
-// What a session may start with.
+// The shared state that a session starts with.
 struct Admission {
   RouterViewPointer view;  // Null: no snapshot yet.
   bool draining = false;
 };
 
-// A back end chosen for an attempt, with its in-flight slot taken: give it back by EndAttempt().
+// A back end chosen for an attempt. It holds an in-flight slot, which EndAttempt() releases, or
+// FreeSlot() after an answer.
 struct ChosenEndpoint {
   EndpointSlot slot;
-  const std::vector<EndpointSlot>* site = nullptr;  // That it was chosen from.
+  const std::vector<EndpointSlot>* site = nullptr;  // The back ends it was chosen from.
   bool keep_connection = true;
   bool probe = false;
 };
 
-// Where a request goes, and where it has been.
+// The route of a request, and the back ends that it was sent to.
 struct ChoiceFacts {
   const RouteView* route = nullptr;
-  std::uint32_t split_share = 0;  // See SplitShare().
+  std::uint32_t split_share = 0;  // Result of SplitShare().
   std::vector<const EndpointState*> tried;
-  bool may_return = false;  // A tried back end may be tried again.
+  bool allow_tried = false;  // A tried back end may be chosen again.
 };
 
 // Thread-safe: any thread may call any method.
@@ -53,45 +54,46 @@
   std::uint64_t in_flight() const;
   const RetryPolicy& policy() const { return *policy_; }
 
-  // Counts the request, whether it will be refused or not.
+  // Counts the request, whether or not it is refused later.
   Admission Admit(Timestamp now);
-  // Takes the route's limits. @return the refusal; nothing when taken: give them back by Release().
+  // Acquires the route's limits; on success Release() must follow. @return the refusal; nothing on
+  // success.
   std::optional<ErrorKind> Acquire(Timestamp now, const RouteView& route);
   void Release(const RouteView& route);
-  // @return nothing when no back end may get the request now.
+  // Chooses a back end. @return nothing when no back end may get the request now.
   std::optional<ChosenEndpoint> Choose(Timestamp now, const RouterView& view,
                                        const ChoiceFacts& facts);
-  // Ends an attempt and learns from how it ended. Frees the in-flight slot unless the answer is
-  // being relayed: then FreeSlot() follows.
-  void EndAttempt(Timestamp now, const ChosenEndpoint& chosen, AttemptEnd end,
+  // Ends an attempt and updates the back end's state by the result. Frees the in-flight slot,
+  // unless there was an answer: then FreeSlot() must follow.
+  void EndAttempt(Timestamp now, const ChosenEndpoint& chosen, AttemptResult result,
                   const AnswerHead* head);
   void FreeSlot(const ChosenEndpoint& chosen);
-  // @return true while the back end may still get something new.
-  bool MayStillUse(Timestamp now, const ChosenEndpoint& chosen) const;
-  // @return true when the budget has a retry, which is then spent.
-  bool TakeRetry(Timestamp now);
+  // @return true while the back end may still get new requests.
+  bool IsStillUsable(Timestamp now, const ChosenEndpoint& chosen) const;
+  // @return true, having spent a retry, when the budget has one.
+  bool TrySpendRetry(Timestamp now);
   void CountRefusal(ErrorKind kind);
 
  private:
   FleetShare ShareOf(Timestamp now, const RouteLimits& limits);
   void UpdateDivisor(Timestamp now);
   void RecordFailure(Timestamp now, const ChosenEndpoint& chosen);
-  void RecordHead(Timestamp now, const ChosenEndpoint& chosen, AttemptEnd end,
+  void RecordHead(Timestamp now, const ChosenEndpoint& chosen, AttemptResult result,
                   const AnswerHead& head);
 
   const RouterSettings settings_;
   const std::shared_ptr<const RetryPolicy> policy_;
   const std::uint64_t seed_;
 
-  std::mutex publish_mutex_;  // Taken before mutex_; guards store_.
+  std::mutex publish_mutex_;  // Locked before mutex_; guards store_.
   StateStore store_;
   mutable std::mutex mutex_;  // Guards everything below, and the states that views point to.
   RouterViewPointer view_;
   EndpointPicker picker_;
   RetryBudget budget_;
   FleetDivisor divisor_;
-  std::size_t live_nodes_ = 1;    // By the membership view.
-  std::size_t listed_nodes_ = 0;  // By the platform's list.
+  std::size_t live_nodes_ = 1;    // Number by the membership view.
+  std::size_t listed_nodes_ = 0;  // Number by the platform's list.
   std::optional<std::size_t> node_rank_;
   bool draining_ = false;
   RouterCounters counters_;
--- a/tests/routing/fleet_limits_test.cc
+++ b/tests/routing/fleet_limits_test.cc
@@ -27,7 +27,7 @@
         // More than any node's part, from every node.
         for (std::uint32_t call = 0; call <= limit / kNodes + 1; ++call) {
           const Timestamp now = kStart + std::chrono::seconds(second) + Milliseconds(call);
-          passed += nodes[rank].TryTake(now, limit, {kNodes, rank}) ? 1 : 0;
+          passed += nodes[rank].TryAcquire(now, limit, {kNodes, rank}) ? 1 : 0;
         }
       }
       // The first second also finds the tokens of the ten seconds before it.
@@ -36,7 +36,7 @@
       }
       total += passed;
     }
-    EXPECT_LE(total, limit * (kSeconds + RateLimiter::kTokenLifeSeconds)) << limit;
+    EXPECT_LE(total, limit * (kSeconds + RateLimiter::kTokenLifetimeSeconds)) << limit;
   }
 }
 
@@ -47,11 +47,11 @@
     for (std::size_t rank = 0; rank < kNodes; ++rank) {
       for (int call = 0; call < 20; ++call) {
         passed +=
-            nodes[rank].TryTake(kStart + std::chrono::hours(1), limit, {kNodes, rank}) ? 1 : 0;
+            nodes[rank].TryAcquire(kStart + std::chrono::hours(1), limit, {kNodes, rank}) ? 1 : 0;
       }
     }
     EXPECT_GE(passed, limit);
-    EXPECT_LE(passed, limit < kNodes ? limit * RateLimiter::kTokenLifeSeconds : limit);
+    EXPECT_LE(passed, limit < kNodes ? limit * RateLimiter::kTokenLifetimeSeconds : limit);
   }
 }
 
@@ -64,7 +64,7 @@
     for (int call = 0; call < 300; ++call) {
       const std::size_t rank = random() % kNodes;
       const Timestamp now = kStart + std::chrono::seconds(second) + Milliseconds(3 * call);
-      passed_by_second[second] += nodes[rank].TryTake(now, kLimit, {kNodes, rank}) ? 1 : 0;
+      passed_by_second[second] += nodes[rank].TryAcquire(now, kLimit, {kNodes, rank}) ? 1 : 0;
     }
   }
   std::uint64_t total = 0;
@@ -72,7 +72,7 @@
     std::uint64_t in_window = 0;
     for (std::size_t last = first; last < passed_by_second.size(); ++last) {
       in_window += passed_by_second[last];
-      EXPECT_LE(in_window, kLimit * (last - first + 1 + RateLimiter::kTokenLifeSeconds));
+      EXPECT_LE(in_window, kLimit * (last - first + 1 + RateLimiter::kTokenLifetimeSeconds));
     }
     total += passed_by_second[first];
   }
@@ -102,14 +102,14 @@
   EXPECT_EQ(divisor.Value(kStart), 1000U);
   // A partition: half the fleet looks dead.
   divisor.Observe(kStart, 500);
-  EXPECT_EQ(divisor.Value(kStart + FleetDivisor::kHold), 1000U);
-  const Timestamp later = kStart + FleetDivisor::kHold + std::chrono::minutes(1);
+  EXPECT_EQ(divisor.Value(kStart + FleetDivisor::kHoldTime), 1000U);
+  const Timestamp later = kStart + FleetDivisor::kHoldTime + std::chrono::minutes(1);
   EXPECT_EQ(divisor.Value(later), 900U);
   // It heals: the full view counts again at once, and the hold begins anew.
   divisor.Observe(later, 1000);
   EXPECT_EQ(divisor.Value(later), 1000U);
   divisor.Observe(later, 500);
-  EXPECT_EQ(divisor.Value(later + FleetDivisor::kHold), 1000U);
+  EXPECT_EQ(divisor.Value(later + FleetDivisor::kHoldTime), 1000U);
   // A fleet that really shrank gets its whole limit back in the end.
   EXPECT_EQ(divisor.Value(later + std::chrono::hours(2)), 500U);
   divisor.Observe(later + std::chrono::hours(2), 2000);
@@ -138,7 +138,7 @@
       nodes[node]->SetLiveNodes(kStart, kFleet / 2, node % 2);
     }
     // The list is the platform's word: with it the divisor does not fall at all.
-    const Timestamp now = kStart + (listed ? std::chrono::hours(3) : FleetDivisor::kHold);
+    const Timestamp now = kStart + (listed ? std::chrono::hours(3) : FleetDivisor::kHoldTime);
     int passed = 0;
     for (const auto& node : nodes) {
       for (int call = 0; call < 400; ++call) {
--- a/tests/routing/model_check_test.cc
+++ b/tests/routing/model_check_test.cc
@@ -210,21 +210,21 @@
  public:
   explicit BrokenRetryPolicy(Fault fault) : fault_(fault) {}
 
-  RetryVerdict Judge(AttemptEnd end, const RetryFacts& facts) const override {
+  RetryDecision Decide(AttemptResult end, const RetryFacts& facts) const override {
     RetryFacts believed = facts;
     if (fault_ == Fault::kRetriesLostRequests) believed.repeatable = true;
-    if (fault_ == Fault::kForgetsDoubt) believed.doubt.reset();
+    if (fault_ == Fault::kForgetsDoubt) believed.unknown_kind.reset();
     if (fault_ == Fault::kIgnoresUpperLayer) believed.already_retried = false;
     if (fault_ == Fault::kRetriesForEver) believed.retries_left = 1;
-    RetryVerdict verdict = standard_.Judge(end, believed);
-    if (fault_ == Fault::kClaimsNotRunOnTimeout && end == AttemptEnd::kTimeoutAfterWrite) {
-      verdict.kind = ErrorKind::kConnectFailed;
+    RetryDecision decision = standard_.Decide(end, believed);
+    if (fault_ == Fault::kClaimsNotRunOnTimeout && end == AttemptResult::kTimeoutAfterWrite) {
+      decision.kind = ErrorKind::kConnectFailed;
     }
-    if (fault_ == Fault::kRetriesGatewayErrors && end == AttemptEnd::kAnswered &&
+    if (fault_ == Fault::kRetriesGatewayErrors && end == AttemptResult::kAnswered &&
         facts.retries_left > 0 && !facts.already_retried) {
-      verdict = {RetryStep::kRetry, ErrorKind::kConnectionLost, true};
+      decision = {RetryStep::kRetry, ErrorKind::kConnectionLost, true};
     }
-    return verdict;
+    return decision;
   }
 
  private:
