--- a/tests/routing/back_end_choice_test.cc
+++ b/tests/routing/back_end_choice_test.cc
@@ -1,4 +1,4 @@
-// Which back end a request gets: split, load, slow start, ejection, leaving.
+// Tests of the choice of a back end: site split, load, slow start, ejection, leaving back ends.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -22,7 +22,7 @@
 
 constexpr Duration kSecond = std::chrono::seconds(1);
 
-TEST(SiteSplitTest, SharesFollowTheWeightsAndMoveOnlyWhatMoves) {
+TEST(SiteSplitTest, SharesFollowTheWeightsAndOnlyMovedSharesChangeSite) {
   constexpr int kRequests = 20000;
   RouteRow before;
   before.old_weight = 70;
@@ -47,7 +47,7 @@
   EXPECT_EQ(moved_back, 0);
 }
 
-TEST(SiteSplitTest, AnEmptySiteHandsOverOnlyWhereTheWeightAllows) {
+TEST(SiteSplitTest, AnEmptySiteFallsBackOnlyToASiteWithWeight) {
   struct SplitCase {
     std::uint32_t old_weight;
     SiteAvailability available;
@@ -75,7 +75,7 @@
     router_.Publish(now, MakeSnapshot({MakeRow()}, machines, fleet));
   }
 
-  // Runs one request to its end. @return the back end that it went to; empty when refused.
+  // Runs one request to its end. @return the back end that got it; empty when it was refused.
   std::string Send(Timestamp now, const AnswerHead& head = {}) {
     const auto session = router_.Begin(MakeRequest("GET", std::to_string(next_id_++)));
     const RequestAction action = session->Start(now);
@@ -83,14 +83,15 @@
     return TargetOf(action);
   }
 
-  // Like Send(); what every one of `count` requests went to.
+  // Runs `count` requests like Send(). @return the number of requests by back end.
   std::map<std::string, int> SendMany(Timestamp now, int count) {
     std::map<std::string, int> counts;
     for (int request = 0; request < count; ++request) ++counts[Send(now)];
     return counts;
   }
 
-  // Sends until back end `id` got `count` requests, each of which fails so.
+  // Sends requests until back end `id` got `count` of them. These end with `failure`, all others
+  // succeed.
   void FailAt(Timestamp now, const std::string& id, int count, AttemptFailure failure) {
     while (count > 0) {
       const auto session = router_.Begin(MakeRequest("POST", std::to_string(next_id_++)));
@@ -109,7 +110,7 @@
   int next_id_ = 0;
 };
 
-TEST_F(BackEndChoiceTest, HoldsTheInFlightBoundOfEachBackEnd) {
+TEST_F(BackEndChoiceTest, EnforcesTheInFlightLimitOfEachBackEnd) {
   Publish(kStart, MakeMachines(2));
   std::vector<std::unique_ptr<RequestSession>> sessions;
   std::map<std::string, int> counts;
@@ -138,7 +139,7 @@
   EXPECT_GT(SendMany(kStart + 3 * kSecond, 50)["old-100"], 10);
 }
 
-TEST_F(BackEndChoiceTest, TheOwnZoneDecidesOnlyBetweenEquals) {
+TEST_F(BackEndChoiceTest, TheSameZoneIsPreferredOnlyAtEqualLoad) {
   MachineList list = MakeMachines(2);
   list.machines[1].zone = "ank-b";
   FleetShape fleet;
@@ -156,7 +157,8 @@
 
 TEST_F(BackEndChoiceTest, NewBackEndsStartSlowly) {
   Publish(kStart, MakeMachines(4));
-  EXPECT_GT(SendMany(kStart, 400)["old-103"], 70) << "none is new to a node that just started";
+  EXPECT_GT(SendMany(kStart, 400)["old-103"], 70)
+      << "a node that just started treats no back end as new";
   Publish(kStart, MakeMachines(5));
   const int cold = SendMany(kStart + kSecond / 2, 400)["old-104"];
   const int half = SendMany(kStart + 5 * kSecond / 2, 400)["old-104"];
@@ -168,7 +170,7 @@
   EXPECT_GT(warm, 60);
 }
 
-TEST_F(BackEndChoiceTest, FailuresInARowEject) {
+TEST_F(BackEndChoiceTest, ConsecutiveFailuresEjectABackEnd) {
   Publish(kStart, MakeMachines(4));
   FailAt(kStart, "old-101", 4, AttemptFailure::kTimeoutAfterWrite);
   EXPECT_EQ(router_.counters().ejections, 0U);
@@ -178,7 +180,7 @@
   EXPECT_GT(SendMany(kStart + 10 * kSecond, 100)["old-101"], 10);
 }
 
-TEST_F(BackEndChoiceTest, ASuccessBetweenFailuresDoesNotEject) {
+TEST_F(BackEndChoiceTest, ASuccessResetsTheFailureCount) {
   Publish(kStart, MakeMachines(2));
   for (int round = 0; round < 4; ++round) {
     FailAt(kStart, "old-100", 4, AttemptFailure::kTimeoutAfterWrite);
@@ -188,13 +190,13 @@
   EXPECT_EQ(router_.counters().ejections, 0U);
 }
 
-TEST_F(BackEndChoiceTest, EjectionLeavesAFloor) {
-  struct FloorCase {
+TEST_F(BackEndChoiceTest, EjectionStaysWithinItsLimit) {
+  struct EjectionLimitCase {
     std::size_t back_ends;
     std::uint64_t ejected;
   };
-  constexpr FloorCase kCases[] = {{1, 0}, {2, 1}, {3, 1}, {4, 2}, {7, 3}};
-  for (const FloorCase& row : kCases) {
+  constexpr EjectionLimitCase kCases[] = {{1, 0}, {2, 1}, {3, 1}, {4, 2}, {7, 3}};
+  for (const EjectionLimitCase& row : kCases) {
     RequestRouter router({}, 5);
     router.Publish(kStart, MakeSnapshot({MakeRow()}, MakeMachines(row.back_ends)));
     for (int request = 0; request < 500; ++request) {
@@ -206,10 +208,11 @@
   }
   EXPECT_FALSE(MayEject(3, 0, 0.0));
   EXPECT_FALSE(MayEject(1, 0, 1.0));
-  EXPECT_FALSE(MayEject(3, 2, 1.0)) << "one always stays";
+  EXPECT_FALSE(MayEject(3, 2, 1.0)) << "one back end always remains";
 }
 
-// One is ejected, the other can't be reached: a probe that succeeds brings the ejected one back.
+// One back end is ejected and the other is unreachable. A successful probe of the ejected one ends
+// its ejection.
 TEST_F(BackEndChoiceTest, ASuccessfulProbeEndsAnEjection) {
   Publish(kStart, MakeMachines(2));
   FailAt(kStart, "old-100", 5, AttemptFailure::kTimeoutAfterWrite);
@@ -226,8 +229,8 @@
   EXPECT_EQ(Send(kStart + Milliseconds(100)), "old-100");
 }
 
-// Whether or not a back end reports its load with the refusal.
-TEST_F(BackEndChoiceTest, SheddingIsNoFailureButOthersComeFirst) {
+// The same applies whether or not a back end reports its load with the refusal.
+TEST_F(BackEndChoiceTest, SheddingIsNotAFailureButLowersThePriority) {
   Publish(kStart, MakeMachines(2));
   for (int round = 0; round < 10; ++round) {
     AnswerHead shed = NotRunHead();
@@ -240,7 +243,7 @@
     while (target != "old-100") {
       const auto session = router_.Begin(MakeRequest("GET", std::to_string(next_id_++)));
       target = TargetOf(session->Start(now));
-      // Its retry goes to the other back end.
+      // The retry goes to the other back end.
       if (target == "old-100") {
         EXPECT_EQ(TargetOf(session->OnAnswer(now, shed)), "old-101");
       }
@@ -251,7 +254,7 @@
   EXPECT_GT(SendMany(kStart + 200 * kSecond, 30)["old-100"], 0);
 }
 
-// However a back end shows that it leaves, it gets nothing new from then on.
+// After any sign that a back end is leaving, it gets no new requests.
 TEST_F(BackEndChoiceTest, LeavingBackEndsGetNothingNew) {
   enum class Sign { kList, kRemoved, kConnectFailed, kFreeSlots, kClosesConnection };
   for (const Sign sign : {Sign::kList, Sign::kRemoved, Sign::kConnectFailed, Sign::kFreeSlots,
@@ -259,7 +262,7 @@
     RequestRouter router({}, 5);
     MachineList list = MakeMachines(3);
     router.Publish(kStart, MakeSnapshot({MakeRow()}, list));
-    // Sent before the sign; their answers come after it and prove nothing.
+    // These requests are sent before the sign. Their answers arrive after it and don't clear it.
     std::vector<std::unique_ptr<RequestSession>> early;
     std::unique_ptr<RequestSession> session;
     while (early.size() < 6) {
@@ -301,8 +304,8 @@
   }
 }
 
-// A session that began under an older snapshot retries by what is known now.
-TEST_F(BackEndChoiceTest, RetriesAvoidWhatBeganToLeaveMeanwhile) {
+// A session that started with an older snapshot retries by the newest one.
+TEST_F(BackEndChoiceTest, RetriesAvoidBackEndsThatStartedLeaving) {
   MachineList list = MakeMachines(2);
   Publish(kStart, list);
   const auto session = router_.Begin(MakeRequest());
@@ -313,8 +316,8 @@
             ErrorKind::kConnectFailed);
 }
 
-// Where nothing else is left, one request now and then finds out whether a back end is back.
-TEST_F(BackEndChoiceTest, ASiteOutOfUseIsProbedRarelyAndReturnsAtOnce) {
+// When no back end of a site is available, occasional probes test whether one is available again.
+TEST_F(BackEndChoiceTest, AnUnavailableSiteIsProbedRarelyAndReturnsAtOnce) {
   AnswerHead refusal = NotRunHead();
   refusal.load_in_flight = 0;
   refusal.load_slots = 6;
@@ -331,7 +334,7 @@
                                           : session->OnFailure(now, AttemptFailure::kConnectFailed);
       EXPECT_EQ(TargetOf(next), "");
     }
-    EXPECT_EQ(sent, 4) << "the first, and a probe each 250 ms";
+    EXPECT_EQ(sent, 4) << "the first request and a probe every 250 ms";
     const Timestamp back = kStart + Milliseconds(760);
     const auto probe = router.Begin(MakeRequest());
     EXPECT_EQ(TargetOf(probe->Start(back)), "old-100");
@@ -343,7 +346,7 @@
   }
 }
 
-TEST_F(BackEndChoiceTest, OverItsShareOfConnectionsANodeKeepsNone) {
+TEST_F(BackEndChoiceTest, ConnectionsOverTheShareAreNotKept) {
   FleetShape fleet;
   fleet.live_nodes = 50;
   Publish(kStart, MakeMachines(1), fleet);
--- a/tests/routing/fleet.h
+++ b/tests/routing/fleet.h
@@ -1,4 +1,4 @@
-// Tables, machine lists and routers that the routing tests share.
+// Helpers shared by the routing tests: tables, machine lists, snapshots and requests.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,8 @@
 
 inline constexpr Timestamp kStart{std::chrono::seconds(1000)};
 
-// A route "/permits" of permit-desk: all to the old site, ten seconds' timeout, three retries.
+// @return a route "/permits" of permit-desk: all requests go to the old site, with a timeout of ten
+//         seconds and three retries.
 inline RouteRow MakeRow() {
   RouteRow row;
   row.service = "permit-desk";
@@ -43,7 +44,7 @@
   return machine;
 }
 
-// @return back ends old-100, old-101, ... and new-100, new-101, ...
+// @return the back ends old-100, old-101, ... and new-100, new-101, ...
 inline MachineList MakeMachines(std::size_t old_site, std::size_t new_site = 0) {
   MachineList list;
   for (std::size_t number = 0; number < old_site; ++number) {
--- a/tests/routing/fleet_limits_test.cc
+++ b/tests/routing/fleet_limits_test.cc
@@ -1,4 +1,5 @@
-// Fleet limits divided over nodes: the parts add up to the limit, and a smaller view errs low.
+// Tests of fleet limits divided among nodes: the parts add up to the limit, and a decrease of the
+// live nodes doesn't raise them at once.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -24,13 +25,13 @@
     for (std::uint64_t second = 0; second < kSeconds; ++second) {
       std::uint64_t passed = 0;
       for (std::size_t rank = 0; rank < kNodes; ++rank) {
-        // More than any node's part, from every node.
+        // Every node gets more requests than its part of the limit.
         for (std::uint32_t call = 0; call <= limit / kNodes + 1; ++call) {
           const Timestamp now = kStart + std::chrono::seconds(second) + Milliseconds(call);
           passed += nodes[rank].TryAcquire(now, limit, {kNodes, rank}) ? 1 : 0;
         }
       }
-      // The first second also finds the tokens of the ten seconds before it.
+      // In the first second the tokens of the ten seconds before it are available as well.
       if (second > 0) {
         EXPECT_EQ(passed, limit) << "second " << second;
       }
@@ -40,7 +41,7 @@
   }
 }
 
-TEST(RateLimiterTest, AnIdleFleetSavesUpLittle) {
+TEST(RateLimiterTest, AnIdleFleetAccumulatesFewTokens) {
   for (const std::uint32_t limit : {1U, 50U, 2000U}) {
     std::vector<RateLimiter> nodes(kNodes);
     std::uint64_t passed = 0;
@@ -59,34 +60,34 @@
   constexpr std::uint32_t kLimit = 100;
   std::mt19937_64 random(3);
   std::vector<RateLimiter> nodes(kNodes);
-  std::vector<std::uint64_t> passed_by_second(120);
-  for (std::size_t second = 0; second < passed_by_second.size(); ++second) {
+  std::vector<std::uint64_t> passed_per_second(120);
+  for (std::size_t second = 0; second < passed_per_second.size(); ++second) {
     for (int call = 0; call < 300; ++call) {
       const std::size_t rank = random() % kNodes;
       const Timestamp now = kStart + std::chrono::seconds(second) + Milliseconds(3 * call);
-      passed_by_second[second] += nodes[rank].TryAcquire(now, kLimit, {kNodes, rank}) ? 1 : 0;
+      passed_per_second[second] += nodes[rank].TryAcquire(now, kLimit, {kNodes, rank}) ? 1 : 0;
     }
   }
   std::uint64_t total = 0;
-  for (std::size_t first = 0; first < passed_by_second.size(); ++first) {
+  for (std::size_t first = 0; first < passed_per_second.size(); ++first) {
     std::uint64_t in_window = 0;
-    for (std::size_t last = first; last < passed_by_second.size(); ++last) {
-      in_window += passed_by_second[last];
+    for (std::size_t last = first; last < passed_per_second.size(); ++last) {
+      in_window += passed_per_second[last];
       EXPECT_LE(in_window, kLimit * (last - first + 1 + RateLimiter::kTokenLifetimeSeconds));
     }
-    total += passed_by_second[first];
+    total += passed_per_second[first];
   }
-  // Three times the limit was asked for: most of it passes.
-  EXPECT_GE(total, passed_by_second.size() * kLimit * 8 / 10);
+  // The requests are three times the limit, so most of the limit is used.
+  EXPECT_GE(total, passed_per_second.size() * kLimit * 8 / 10);
 }
 
-TEST(InFlightLimiterTest, PartsAddUpToTheLimitAndAreGivenBack) {
+TEST(InFlightLimiterTest, PartsAddUpToTheLimitAndAreReleased) {
   for (const std::uint32_t limit : {1U, 10U, 999U, 1000U, 1500U}) {
     std::vector<InFlightLimiter> nodes(kNodes);
     std::uint64_t held = 0;
     for (std::size_t rank = 0; rank < kNodes; ++rank) {
       while (nodes[rank].TryAcquire(limit, {kNodes, rank})) ++held;
-      // The in-flight requests of a larger share are not cut, but no new one passes.
+      // When the share shrinks, requests in flight continue, but no new one passes.
       EXPECT_FALSE(nodes[rank].TryAcquire(limit, {2 * kNodes, rank}) && limit < kNodes);
     }
     EXPECT_EQ(held, limit);
@@ -96,27 +97,28 @@
   }
 }
 
-TEST(FleetDivisorTest, RisesAtOnceAndFallsLate) {
+TEST(FleetDivisorTest, RisesAtOnceAndDecaysAfterTheHoldTime) {
   FleetDivisor divisor;
   divisor.Observe(kStart, 1000);
   EXPECT_EQ(divisor.Value(kStart), 1000U);
-  // A partition: half the fleet looks dead.
+  // In a partition half of the fleet appears to have failed.
   divisor.Observe(kStart, 500);
   EXPECT_EQ(divisor.Value(kStart + FleetDivisor::kHoldTime), 1000U);
   const Timestamp later = kStart + FleetDivisor::kHoldTime + std::chrono::minutes(1);
   EXPECT_EQ(divisor.Value(later), 900U);
-  // It heals: the full view counts again at once, and the hold begins anew.
+  // After the partition all nodes count again at once, and the hold time starts again.
   divisor.Observe(later, 1000);
   EXPECT_EQ(divisor.Value(later), 1000U);
   divisor.Observe(later, 500);
   EXPECT_EQ(divisor.Value(later + FleetDivisor::kHoldTime), 1000U);
-  // A fleet that really shrank gets its whole limit back in the end.
+  // A fleet that stays smaller can use its whole limit again eventually.
   EXPECT_EQ(divisor.Value(later + std::chrono::hours(2)), 500U);
   divisor.Observe(later + std::chrono::hours(2), 2000);
   EXPECT_EQ(divisor.Value(later + std::chrono::hours(2)), 2000U);
 }
 
-// Both halves of a partition together stay at the limit, by the hold and by the platform's list.
+// Both halves of a partitioned fleet together stay within the limit, due to the hold time or the
+// platform's list.
 TEST(FleetLimitsTest, APartitionedFleetPassesNoMoreThanTheLimit) {
   constexpr std::size_t kFleet = 4;
   RouteRow row = routing_test::MakeRow();
@@ -137,7 +139,7 @@
       nodes[node]->SetLiveNodes(kStart, kFleet, node);
       nodes[node]->SetLiveNodes(kStart, kFleet / 2, node % 2);
     }
-    // The list is the platform's word: with it the divisor does not fall at all.
+    // While the platform lists the nodes, the divisor does not decay at all.
     const Timestamp now = kStart + (listed ? std::chrono::hours(3) : FleetDivisor::kHoldTime);
     int passed = 0;
     for (const auto& node : nodes) {
@@ -150,7 +152,7 @@
   }
 }
 
-TEST(FleetLimitsTest, LimitsAreGivenBackWhenTheSessionEnds) {
+TEST(FleetLimitsTest, LimitsAreReleasedWhenTheSessionEnds) {
   RouteRow row = routing_test::MakeRow();
   row.max_in_flight = 2;
   RequestRouter router({}, 1);
@@ -160,13 +162,13 @@
   ASSERT_FALSE(routing_test::TargetOf(first->Start(kStart)).empty());
   auto second = router.Begin(routing_test::MakeRequest());
   ASSERT_FALSE(routing_test::TargetOf(second->Start(kStart)).empty());
-  router.Publish(kStart, snapshot);  // A new table does not forget what is in flight.
+  router.Publish(kStart, snapshot);  // A new snapshot keeps the requests in flight.
   const auto refused = router.Begin(routing_test::MakeRequest());
   EXPECT_EQ(routing_test::KindOf(refused->Start(kStart)), ErrorKind::kInFlightLimited);
   EXPECT_TRUE(std::holds_alternative<RelayAnswer>(first->OnAnswer(kStart, {})));
-  EXPECT_EQ(router.in_flight(), 2U);  // Until the answer is relayed.
+  EXPECT_EQ(router.in_flight(), 2U);  // The request is in flight until the answer is relayed.
   first->OnFinished(kStart, true);
-  second.reset();  // Abandoned.
+  second.reset();  // The session ends without an answer.
   EXPECT_EQ(router.in_flight(), 0U);
   const auto third = router.Begin(routing_test::MakeRequest());
   EXPECT_FALSE(routing_test::TargetOf(third->Start(kStart)).empty());
--- a/tests/routing/request_router_test.cc
+++ b/tests/routing/request_router_test.cc
@@ -28,7 +28,7 @@
   EXPECT_EQ(KindOf(router.Begin(MakeRequest())->Start(kStart)), ErrorKind::kDraining);
 }
 
-TEST(RequestRouterTest, RefusesWhatItCannotRoute) {
+TEST(RequestRouterTest, RefusesRequestsItCannotRoute) {
   RequestRouter router({}, 1);
   router.Publish(kStart, MakeSnapshot({MakeRow()}, MakeMachines(0)));
   EXPECT_EQ(KindOf(router.Begin(MakeRequest())->Start(kStart)), ErrorKind::kNoEndpoint);
@@ -42,9 +42,9 @@
   EXPECT_EQ(KindOf(router.Begin(facts)->Start(kStart)), ErrorKind::kDeadlineBeforeSend);
 }
 
-// Sessions of several threads while tables are swapped: for the thread sanitizer, and nothing
-// leaks.
-TEST(RequestRouterTest, ThreadsShareItWhileTablesAreSwapped) {
+// Runs sessions in several threads while snapshots are replaced, for the thread sanitizer. No
+// request remains in flight.
+TEST(RequestRouterTest, ThreadsRunSessionsWhileSnapshotsAreReplaced) {
   constexpr int kThreads = 4;
   constexpr int kSessions = 1000;
   RequestRouter router({}, 1);
--- a/tests/routing/retry_policy_test.cc
+++ b/tests/routing/retry_policy_test.cc
@@ -1,5 +1,5 @@
-// Contract tables of the request path under failure, taken through whole sessions: how an attempt
-// ends x method x the row's `repeatable` x what the back end said -> what follows.
+// Contract tests of retries, run through whole sessions. The tables state what follows for each
+// combination of failure or answer, method and the row's `repeatable`.
 #include "routing/retry_policy.h"
 
 #include <gtest/gtest.h>
@@ -18,27 +18,27 @@
 using routing_test::MakeSnapshot;
 using routing_test::TargetOf;
 
-constexpr Repeatable kBy = Repeatable::kByMethod;
+constexpr Repeatable kByMethod = Repeatable::kByMethod;
 constexpr Repeatable kYes = Repeatable::kYes;
 constexpr Repeatable kNo = Repeatable::kNo;
 
-// What ends an attempt: a failure, or an answer's head.
+// The end of an attempt: a failure, or the head of an answer.
 struct Event {
   AttemptFailure failure = AttemptFailure::kConnectFailed;
-  int status = 0;  // Above 0: an answer.
+  int status = 0;  // Status of an answer; 0: a failure.
   bool says_not_run = false;
 };
 
-constexpr Event kConnect{AttemptFailure::kConnectFailed};
-constexpr Event kNothing{AttemptFailure::kNothingWritten};
-constexpr Event kLost{AttemptFailure::kLostAfterWrite};
+constexpr Event kConnectFailed{AttemptFailure::kConnectFailed};
+constexpr Event kNothingWritten{AttemptFailure::kNothingWritten};
+constexpr Event kConnectionLost{AttemptFailure::kLostAfterWrite};
 constexpr Event kTimeout{AttemptFailure::kTimeoutAfterWrite};
 constexpr Event kDeadline{AttemptFailure::kDeadlineAfterWrite};
-constexpr Event kGone{AttemptFailure::kCallerGone};
-constexpr Event Says(int status) { return {AttemptFailure::kConnectFailed, status, false}; }
-constexpr Event SaysNotRun(int status) { return {AttemptFailure::kConnectFailed, status, true}; }
+constexpr Event kCallerGone{AttemptFailure::kCallerGone};
+constexpr Event PlainAnswer(int status) { return {AttemptFailure::kConnectFailed, status, false}; }
+constexpr Event NotRunAnswer(int status) { return {AttemptFailure::kConnectFailed, status, true}; }
 
-RequestAction Feed(RequestSession& session, const Event& event) {
+RequestAction ApplyEvent(RequestSession& session, const Event& event) {
   if (event.status == 0) return session.OnFailure(kStart, event.failure);
   AnswerHead head;
   head.status = event.status;
@@ -46,8 +46,9 @@
   return session.OnAnswer(kStart, head);
 }
 
-// @return "elsewhere" or "same" (an attempt at another or the same back end), "relay", or the name
-//         of the answer's kind with its outcome.
+// @return "elsewhere" or "same" for an attempt at another or the same back end, "relay", or the
+// name
+//         and the outcome of the error.
 std::string Describe(const RequestAction& action, const std::string& last_target) {
   if (std::holds_alternative<SendAttempt>(action)) {
     return TargetOf(action) == last_target ? "same" : "elsewhere";
@@ -68,72 +69,72 @@
 };
 
 constexpr AttemptCase kAttemptCases[] = {
-    // Nothing was written: any method goes elsewhere.
-    {kConnect, "GET", kBy, "elsewhere"},
-    {kConnect, "POST", kBy, "elsewhere"},
-    {kConnect, "POST", kYes, "elsewhere"},
-    {kConnect, "POST", kNo, "elsewhere"},
-    {kConnect, "GET", kNo, "elsewhere"},
-    {kConnect, "POST", kNo, "elsewhere", false},
-    {kConnect, "POST", kNo, "connect_failed not-run", true, true},
-    {kConnect, "GET", kBy, "connect_failed not-run", true, true},
-    {kConnect, "GET", kBy, "connect_failed not-run", true, false, 0},
-    // A kept connection had been closed: the same attempt, on a new connection.
-    {kNothing, "GET", kBy, "same"},
-    {kNothing, "POST", kBy, "same"},
-    {kNothing, "POST", kNo, "same", false},
-    {kNothing, "POST", kNo, "same", true, true},
-    {kNothing, "POST", kNo, "same", true, false, 0},
-    // Something was written, and no word came back.
-    {kLost, "GET", kBy, "elsewhere"},
-    {kLost, "HEAD", kBy, "elsewhere"},
-    {kLost, "PUT", kBy, "elsewhere"},
-    {kLost, "DELETE", kBy, "elsewhere"},
-    {kLost, "OPTIONS", kBy, "elsewhere"},
-    {kLost, "TRACE", kBy, "elsewhere"},
-    {kLost, "POST", kBy, "connection_lost unknown"},
-    {kLost, "PATCH", kBy, "connection_lost unknown"},
-    {kLost, "CONNECT", kBy, "connection_lost unknown"},
-    {kLost, "get", kBy, "connection_lost unknown"},
-    {kLost, "POST", kYes, "elsewhere"},
-    {kLost, "GET", kNo, "connection_lost unknown"},
-    {kLost, "PUT", kNo, "connection_lost unknown"},
-    {kLost, "PUT", kBy, "connection_lost unknown", false},
-    {kLost, "GET", kBy, "connection_lost unknown", true, true},
-    {kLost, "GET", kBy, "connection_lost unknown", true, false, 0},
-    {kTimeout, "GET", kBy, "elsewhere"},
+    // Nothing was written, so a request of any method may go to another back end.
+    {kConnectFailed, "GET", kByMethod, "elsewhere"},
+    {kConnectFailed, "POST", kByMethod, "elsewhere"},
+    {kConnectFailed, "POST", kYes, "elsewhere"},
+    {kConnectFailed, "POST", kNo, "elsewhere"},
+    {kConnectFailed, "GET", kNo, "elsewhere"},
+    {kConnectFailed, "POST", kNo, "elsewhere", false},
+    {kConnectFailed, "POST", kNo, "connect_failed not-run", true, true},
+    {kConnectFailed, "GET", kByMethod, "connect_failed not-run", true, true},
+    {kConnectFailed, "GET", kByMethod, "connect_failed not-run", true, false, 0},
+    // A kept connection had been closed, so the attempt is repeated on a new connection.
+    {kNothingWritten, "GET", kByMethod, "same"},
+    {kNothingWritten, "POST", kByMethod, "same"},
+    {kNothingWritten, "POST", kNo, "same", false},
+    {kNothingWritten, "POST", kNo, "same", true, true},
+    {kNothingWritten, "POST", kNo, "same", true, false, 0},
+    // Something was written and no answer was received.
+    {kConnectionLost, "GET", kByMethod, "elsewhere"},
+    {kConnectionLost, "HEAD", kByMethod, "elsewhere"},
+    {kConnectionLost, "PUT", kByMethod, "elsewhere"},
+    {kConnectionLost, "DELETE", kByMethod, "elsewhere"},
+    {kConnectionLost, "OPTIONS", kByMethod, "elsewhere"},
+    {kConnectionLost, "TRACE", kByMethod, "elsewhere"},
+    {kConnectionLost, "POST", kByMethod, "connection_lost unknown"},
+    {kConnectionLost, "PATCH", kByMethod, "connection_lost unknown"},
+    {kConnectionLost, "CONNECT", kByMethod, "connection_lost unknown"},
+    {kConnectionLost, "get", kByMethod, "connection_lost unknown"},
+    {kConnectionLost, "POST", kYes, "elsewhere"},
+    {kConnectionLost, "GET", kNo, "connection_lost unknown"},
+    {kConnectionLost, "PUT", kNo, "connection_lost unknown"},
+    {kConnectionLost, "PUT", kByMethod, "connection_lost unknown", false},
+    {kConnectionLost, "GET", kByMethod, "connection_lost unknown", true, true},
+    {kConnectionLost, "GET", kByMethod, "connection_lost unknown", true, false, 0},
+    {kTimeout, "GET", kByMethod, "elsewhere"},
     {kTimeout, "POST", kYes, "elsewhere"},
-    {kTimeout, "POST", kBy, "response_timeout unknown"},
+    {kTimeout, "POST", kByMethod, "response_timeout unknown"},
     {kTimeout, "GET", kNo, "response_timeout unknown"},
-    {kTimeout, "PUT", kBy, "response_timeout unknown", false},
-    {kTimeout, "GET", kBy, "response_timeout unknown", true, true},
-    // Nobody waits any more.
-    {kDeadline, "GET", kBy, "deadline_after_send unknown"},
+    {kTimeout, "PUT", kByMethod, "response_timeout unknown", false},
+    {kTimeout, "GET", kByMethod, "response_timeout unknown", true, true},
+    // The caller no longer waits for an answer.
+    {kDeadline, "GET", kByMethod, "deadline_after_send unknown"},
     {kDeadline, "POST", kYes, "deadline_after_send unknown"},
     {kDeadline, "POST", kNo, "deadline_after_send unknown"},
-    {kGone, "GET", kBy, "caller_gone unknown"},
-    {kGone, "POST", kNo, "caller_gone unknown"},
-    // The back end's own word that it did not run it.
-    {SaysNotRun(503), "GET", kBy, "elsewhere"},
-    {SaysNotRun(503), "POST", kBy, "elsewhere"},
-    {SaysNotRun(503), "POST", kNo, "elsewhere"},
-    {SaysNotRun(429), "POST", kNo, "elsewhere"},
-    {SaysNotRun(500), "POST", kNo, "elsewhere"},
-    {SaysNotRun(503), "POST", kNo, "backend_refused not-run", false},
-    {SaysNotRun(503), "POST", kNo, "backend_refused not-run", true, true},
-    {SaysNotRun(503), "GET", kBy, "backend_refused not-run", true, true},
-    {SaysNotRun(503), "GET", kBy, "backend_refused not-run", true, false, 0},
-    {SaysNotRun(404), "GET", kBy, "relay"},
-    {SaysNotRun(400), "POST", kNo, "relay"},
-    // Any other answer is the answer, also a bad one.
-    {Says(200), "POST", kNo, "relay"},
-    {Says(404), "GET", kBy, "relay"},
-    {Says(429), "GET", kYes, "relay"},
-    {Says(500), "GET", kYes, "relay"},
-    {Says(502), "GET", kYes, "relay"},
-    {Says(503), "GET", kYes, "relay"},
-    {Says(503), "POST", kNo, "relay"},
-    {Says(504), "GET", kBy, "relay"},
+    {kCallerGone, "GET", kByMethod, "caller_gone unknown"},
+    {kCallerGone, "POST", kNo, "caller_gone unknown"},
+    // The back end reports that it did not run the request.
+    {NotRunAnswer(503), "GET", kByMethod, "elsewhere"},
+    {NotRunAnswer(503), "POST", kByMethod, "elsewhere"},
+    {NotRunAnswer(503), "POST", kNo, "elsewhere"},
+    {NotRunAnswer(429), "POST", kNo, "elsewhere"},
+    {NotRunAnswer(500), "POST", kNo, "elsewhere"},
+    {NotRunAnswer(503), "POST", kNo, "backend_refused not-run", false},
+    {NotRunAnswer(503), "POST", kNo, "backend_refused not-run", true, true},
+    {NotRunAnswer(503), "GET", kByMethod, "backend_refused not-run", true, true},
+    {NotRunAnswer(503), "GET", kByMethod, "backend_refused not-run", true, false, 0},
+    {NotRunAnswer(404), "GET", kByMethod, "relay"},
+    {NotRunAnswer(400), "POST", kNo, "relay"},
+    // Any other answer is relayed, including errors.
+    {PlainAnswer(200), "POST", kNo, "relay"},
+    {PlainAnswer(404), "GET", kByMethod, "relay"},
+    {PlainAnswer(429), "GET", kYes, "relay"},
+    {PlainAnswer(500), "GET", kYes, "relay"},
+    {PlainAnswer(502), "GET", kYes, "relay"},
+    {PlainAnswer(503), "GET", kYes, "relay"},
+    {PlainAnswer(503), "POST", kNo, "relay"},
+    {PlainAnswer(504), "GET", kByMethod, "relay"},
 };
 
 class RetryContractTest : public testing::Test {
@@ -150,7 +151,7 @@
 
 TEST_F(RetryContractTest, FirstAttempt) {
   for (const AttemptCase& row : kAttemptCases) {
-    // Each row meets fresh back ends.
+    // Each row uses a new router, without state of back ends.
     RequestRouter router({}, 7);
     RouteRow route = MakeRow();
     route.repeatable = row.repeatable;
@@ -162,10 +163,10 @@
     const auto session = router.Begin(facts);
     const RequestAction first = session->Start(kStart);
     ASSERT_FALSE(TargetOf(first).empty());
-    const RequestAction next = Feed(*session, row.event);
+    const RequestAction next = ApplyEvent(*session, row.event);
     EXPECT_EQ(Describe(next, TargetOf(first)), row.expected)
         << "row " << &row - kAttemptCases << ": " << row.method;
-    // A given-up request holds nothing.
+    // A request that ended with an error holds no limits.
     if (std::holds_alternative<AnswerError>(next)) {
       EXPECT_EQ(router.in_flight(), 0U);
     }
@@ -174,31 +175,31 @@
 
 struct SequenceCase {
   std::vector<Event> events;
-  const char* expected;  // What follows the last one.
+  const char* expected;  // What follows the last event.
   const char* method = "GET";
   std::uint32_t max_retries = 3;
 };
 
-TEST_F(RetryContractTest, WhatOneAttemptLeftUnknownNoOtherMakesNotRun) {
+TEST_F(RetryContractTest, ALaterNotRunDoesNotReplaceAnUnknownOutcome) {
   const std::vector<SequenceCase> cases = {
-      {{kLost, SaysNotRun(503)}, "connection_lost unknown", "GET", 1},
-      {{kTimeout, SaysNotRun(503)}, "response_timeout unknown", "GET", 1},
-      {{kLost, kConnect}, "connection_lost unknown", "GET", 1},
-      {{kLost, SaysNotRun(404)}, "connection_lost unknown"},
-      {{kLost, SaysNotRun(200)}, "connection_lost unknown"},
-      {{kLost, SaysNotRun(503), kConnect}, "connection_lost unknown", "GET", 2},
-      {{kConnect, kLost, SaysNotRun(429)}, "connection_lost unknown", "GET", 2},
-      {{kLost, kTimeout}, "response_timeout unknown", "GET", 1},
-      {{kLost, Says(404)}, "relay"},
-      {{kLost, Says(503)}, "relay"},
-      {{kLost, SaysNotRun(503)}, "elsewhere"},
-      // Without doubt, not-run it stays.
-      {{kConnect, SaysNotRun(503)}, "backend_refused not-run", "POST", 1},
-      {{SaysNotRun(503), kConnect}, "connect_failed not-run", "POST", 1},
-      {{SaysNotRun(503), kLost}, "connection_lost unknown", "POST"},
-      {{kNothing, kNothing}, "elsewhere", "POST"},
-      {{kNothing, kNothing}, "connect_failed not-run", "POST", 0},
-      {{kNothing, kLost}, "connection_lost unknown", "POST"},
+      {{kConnectionLost, NotRunAnswer(503)}, "connection_lost unknown", "GET", 1},
+      {{kTimeout, NotRunAnswer(503)}, "response_timeout unknown", "GET", 1},
+      {{kConnectionLost, kConnectFailed}, "connection_lost unknown", "GET", 1},
+      {{kConnectionLost, NotRunAnswer(404)}, "connection_lost unknown"},
+      {{kConnectionLost, NotRunAnswer(200)}, "connection_lost unknown"},
+      {{kConnectionLost, NotRunAnswer(503), kConnectFailed}, "connection_lost unknown", "GET", 2},
+      {{kConnectFailed, kConnectionLost, NotRunAnswer(429)}, "connection_lost unknown", "GET", 2},
+      {{kConnectionLost, kTimeout}, "response_timeout unknown", "GET", 1},
+      {{kConnectionLost, PlainAnswer(404)}, "relay"},
+      {{kConnectionLost, PlainAnswer(503)}, "relay"},
+      {{kConnectionLost, NotRunAnswer(503)}, "elsewhere"},
+      // Without an earlier unknown outcome, the outcome is not-run.
+      {{kConnectFailed, NotRunAnswer(503)}, "backend_refused not-run", "POST", 1},
+      {{NotRunAnswer(503), kConnectFailed}, "connect_failed not-run", "POST", 1},
+      {{NotRunAnswer(503), kConnectionLost}, "connection_lost unknown", "POST"},
+      {{kNothingWritten, kNothingWritten}, "elsewhere", "POST"},
+      {{kNothingWritten, kNothingWritten}, "connect_failed not-run", "POST", 0},
+      {{kNothingWritten, kConnectionLost}, "connection_lost unknown", "POST"},
   };
   for (const SequenceCase& row : cases) {
     RequestRouter router({}, 7);
@@ -211,7 +212,7 @@
     for (const Event& event : row.events) {
       ASSERT_TRUE(std::holds_alternative<SendAttempt>(action)) << &row - cases.data();
       target = TargetOf(action);
-      action = Feed(*session, event);
+      action = ApplyEvent(*session, event);
     }
     EXPECT_EQ(Describe(action, target), row.expected) << "row " << &row - cases.data();
   }
@@ -229,7 +230,7 @@
       {AttemptFailure::kTimeoutAfterWrite, "deadline_after_send unknown"},
   };
   for (const DeadlineCase& row : kCases) {
-    Publish(kBy, 3);
+    Publish(kByMethod, 3);
     RequestFacts facts = MakeRequest("GET");
     facts.time_left = Milliseconds(100);
     const auto session = router_.Begin(facts);
@@ -240,8 +241,8 @@
   }
 }
 
-TEST_F(RetryContractTest, RetriesCarryTheirNumberAndTheTimeLeft) {
-  Publish(kBy, 3);
+TEST_F(RetryContractTest, RetriesCarryTheAttemptNumberAndTheRemainingTime) {
+  Publish(kByMethod, 3);
   RequestFacts facts = MakeRequest("GET");
   facts.time_left = Milliseconds(100);
   const auto session = router_.Begin(facts);
@@ -257,14 +258,15 @@
 }
 
 TEST_F(RetryContractTest, NonRepeatableRequestsAvoidIdleConnections) {
-  Publish(kBy, 3);
+  Publish(kByMethod, 3);
   EXPECT_FALSE(std::get<SendAttempt>(router_.Begin(MakeRequest("POST"))->Start(kStart))
                    .allow_idle_connection);
 }
 
-// Two nodes in a row, both allowed three retries: the lower one sees that the upper has retried.
+// Two nodes in series are both allowed three retries. The lower one is told that the upper has
+// retried and doesn't retry as well.
 TEST_F(RetryContractTest, NeverRetriesAtTwoLayers) {
-  Publish(kBy, 3);
+  Publish(kByMethod, 3);
   RequestRouter lower({}, 9);
   lower.Publish(kStart, router_.snapshot());
   const auto upper_session = router_.Begin(MakeRequest("GET"));
@@ -283,22 +285,24 @@
     }
     upper = upper_session->OnFailure(kStart, AttemptFailure::kLostAfterWrite);
   }
-  // The first attempt is retried below, three times; the upper's three retries are not: 4 + 3.
+  // The lower node retries the first attempt three times, and none of the upper's three retries:
+  // 4 + 3.
   EXPECT_EQ(lower_attempts, 7);
 }
 
-TEST_F(RetryContractTest, TheLastBackEndLeftIsAskedAgainOnlyWhenThatCanHelp) {
-  Publish(kBy, 3, 1);
+TEST_F(RetryContractTest, TheOnlyBackEndIsTriedAgainAfterALossButNotARefusal) {
+  Publish(kByMethod, 3, 1);
   const auto lost = router_.Begin(MakeRequest("GET"));
   ASSERT_FALSE(TargetOf(lost->Start(kStart)).empty());
-  EXPECT_EQ(Describe(Feed(*lost, kLost), "old-100"), "same");
+  EXPECT_EQ(Describe(ApplyEvent(*lost, kConnectionLost), "old-100"), "same");
   const auto refused = router_.Begin(MakeRequest("GET", "request-2"));
   ASSERT_FALSE(TargetOf(refused->Start(kStart)).empty());
-  EXPECT_EQ(Describe(Feed(*refused, SaysNotRun(503)), "old-100"), "backend_refused not-run");
+  EXPECT_EQ(Describe(ApplyEvent(*refused, NotRunAnswer(503)), "old-100"),
+            "backend_refused not-run");
 }
 
 TEST_F(RetryContractTest, RefusalsKeepTheBackEndsRetryAfter) {
-  Publish(kBy, 0);
+  Publish(kByMethod, 0);
   const auto session = router_.Begin(MakeRequest());
   ASSERT_FALSE(TargetOf(session->Start(kStart)).empty());
   AnswerHead head = routing_test::NotRunHead();
@@ -306,7 +310,7 @@
   EXPECT_EQ(std::get<AnswerError>(session->OnAnswer(kStart, head)).retry_after_seconds, 7U);
 }
 
-TEST_F(RetryContractTest, TheBudgetEndsAStormOfRetries) {
+TEST_F(RetryContractTest, TheBudgetLimitsRetries) {
   Publish(kYes, 3);
   int retries = 0;
   for (int request = 0; request < 1000; ++request) {
@@ -317,7 +321,7 @@
       if (std::holds_alternative<SendAttempt>(action)) ++retries;
     }
   }
-  // A tenth of the requests, and three a second whatever the share.
+  // The budget is a tenth of the requests, and three per second regardless of the share.
   EXPECT_LE(retries, 103);
   EXPECT_GE(retries, 95);
   EXPECT_EQ(router_.counters().retries, static_cast<std::uint64_t>(retries));
--- a/tests/routing/route_index_test.cc
+++ b/tests/routing/route_index_test.cc
@@ -22,7 +22,7 @@
 
 struct MatchCase {
   const char* path;
-  const char* route;  // Null: none.
+  const char* route;  // Null: no route matches.
 };
 
 TEST(RouteIndexTest, LongestPrefixOnSegmentBordersWins) {
@@ -51,7 +51,7 @@
   }
 }
 
-TEST(RouteIndexTest, RootTakesWhatNothingElseDoes) {
+TEST(RouteIndexTest, RootMatchesPathsWithoutALongerRoute) {
   const RouteIndex index(TableOf({"/", "/a"}));
   EXPECT_EQ(index.Match("/"), 0);
   EXPECT_EQ(index.Match("/b/a"), 0);
@@ -60,10 +60,10 @@
 
 struct PathCase {
   const char* path;
-  const char* normalized;  // Null: refused.
+  const char* normalized;  // Null: the path is refused.
 };
 
-TEST(PathNormalizerTest, OneSpellingOrARefusal) {
+TEST(PathNormalizerTest, NormalizesOrRefusesPaths) {
   constexpr PathCase kCases[] = {
       {"/", "/"},
       {"/a", "/a"},
@@ -115,7 +115,7 @@
     EXPECT_EQ(normalized, row.normalized) << row.path;
     std::string again;
     EXPECT_TRUE(NormalizePath(normalized, again)) << normalized;
-    EXPECT_EQ(again, normalized) << "not stable";
+    EXPECT_EQ(again, normalized) << "normalizing twice changes the path";
   }
 }
 
--- a/tests/routing/subsetting_test.cc
+++ b/tests/routing/subsetting_test.cc
@@ -11,14 +11,14 @@
 namespace copperlead {
 namespace {
 
-// What the fleet as a whole does to one site.
-struct FleetUse {
-  std::vector<std::size_t> connections;  // Kept, by back end, from all nodes.
-  std::size_t least_members = SIZE_MAX;
+// Usage of one site by the whole fleet.
+struct FleetUsage {
+  std::vector<std::size_t> connections;  // Connections that all nodes keep open, by back end.
+  std::size_t min_members = SIZE_MAX;
 };
 
-FleetUse UseOf(SubsetShape shape) {
-  FleetUse use;
+FleetUsage ComputeUsage(SubsetShape shape) {
+  FleetUsage use;
   use.connections.resize(shape.back_ends);
   for (shape.node_rank = 0; shape.node_rank < shape.live_nodes; ++shape.node_rank) {
     const auto members = ChooseSubset(shape, "permit-desk/old");
@@ -28,7 +28,7 @@
       distinct.insert(member.index);
     }
     EXPECT_EQ(distinct.size(), members.size()) << "rank " << shape.node_rank;
-    use.least_members = std::min(use.least_members, members.size());
+    use.min_members = std::min(use.min_members, members.size());
   }
   return use;
 }
@@ -36,43 +36,44 @@
 struct SubsetCase {
   std::size_t nodes;
   std::size_t back_ends;
-  std::size_t least_kept;  // Connections of the least used back end.
+  std::size_t min_connections;  // Connections of the least used back end, at least.
 };
 
-TEST(SubsettingTest, ConnectionsStayUnderTheBoundAndSpreadEvenly) {
+TEST(SubsettingTest, ConnectionsStayWithinTheLimitAndSpreadEvenly) {
   constexpr SubsetCase kCases[] = {
       {1, 7, 6},     {4, 7, 24},    {16, 7, 96},    {50, 7, 50},   {97, 12, 97},
       {98, 12, 0},   {200, 12, 80}, {300, 12, 72},  {500, 12, 82}, {1000, 12, 83},
       {1000, 7, 96}, {1000, 5, 96}, {3000, 12, 96}, {1000, 1, 97}, {10, 1, 60},
   };
   for (const SubsetCase& row : kCases) {
-    const FleetUse use = UseOf({row.back_ends, row.nodes, 0, 130, 6});
+    const FleetUsage use = ComputeUsage({row.back_ends, row.nodes, 0, 130, 6});
     const auto [least, most] = std::minmax_element(use.connections.begin(), use.connections.end());
     EXPECT_LE(*most, 98U) << row.nodes << " nodes, " << row.back_ends << " back ends";
-    EXPECT_GE(*least, row.least_kept) << row.nodes << " nodes, " << row.back_ends << " back ends";
-    EXPECT_GE(use.least_members, std::min<std::size_t>(3, row.back_ends));
+    EXPECT_GE(*least, row.min_connections)
+        << row.nodes << " nodes, " << row.back_ends << " back ends";
+    EXPECT_GE(use.min_members, std::min<std::size_t>(3, row.back_ends));
   }
 }
 
-TEST(SubsettingTest, SmallFleetsUseAll) {
+TEST(SubsettingTest, SmallFleetsUseAllBackEnds) {
   for (const std::size_t nodes : {1U, 3U, 16U}) {
-    EXPECT_EQ(UseOf({12, nodes, 0, 130, 6}).least_members, 12U);
+    EXPECT_EQ(ComputeUsage({12, nodes, 0, 130, 6}).min_members, 12U);
   }
 }
 
-// When one back end goes, the nodes that kept connections to it turn to all others evenly.
-TEST(SubsettingTest, TheLoadOfALostBackEndSpreads) {
+// When a back end fails, the nodes that kept connections to it move to all others evenly.
+TEST(SubsettingTest, TheLoadOfAFailedBackEndSpreadsEvenly) {
   SubsetShape shape{12, 1000, 0, 130, 6};
-  std::vector<std::size_t> turned_to(shape.back_ends);
+  std::vector<std::size_t> next_choices(shape.back_ends);
   for (; shape.node_rank < shape.live_nodes; ++shape.node_rank) {
     const auto members = ChooseSubset(shape, "permit-desk/old");
     ASSERT_GE(members.size(), 2U);
-    if (members[0].index == 0) ++turned_to[members[1].index];
+    if (members[0].index == 0) ++next_choices[members[1].index];
   }
-  EXPECT_EQ(turned_to[0], 0U);
-  for (std::size_t index = 1; index < turned_to.size(); ++index) {
-    EXPECT_GE(turned_to[index], 7U) << index;
-    EXPECT_LE(turned_to[index], 8U) << index;
+  EXPECT_EQ(next_choices[0], 0U);
+  for (std::size_t index = 1; index < next_choices.size(); ++index) {
+    EXPECT_GE(next_choices[index], 7U) << index;
+    EXPECT_LE(next_choices[index], 8U) << index;
   }
 }
 
