--- a/src/routing/ejection.h
+++ b/src/routing/ejection.h
@@ -36,7 +36,7 @@
 // @param back_ends number of back ends of the site in this node's subset, without leaving ones.
 // @param unavailable number of these that are already ejected, draining or unreachable.
 // @param limit largest share of the back ends that may be unavailable.
-// @return true when one more may be ejected; at least one always stays.
+// @return true when one more may be ejected; at least one always remains in use.
 bool MayEject(std::size_t back_ends, std::size_t unavailable, double limit);
 
 }  // namespace copperlead
--- a/src/routing/endpoint_picker.h
+++ b/src/routing/endpoint_picker.h
@@ -31,9 +31,8 @@
   bool probe = false;  // The request tests whether an unavailable back end is available again.
 };
 
-// @return the relative weight of a back end, 0.05 to 1. It rises linearly during the slow start of
-// a
-//         back end that is new or back from ejection.
+// @return the relative weight of a back end, 0.05 to 1. It rises linearly during the slow start
+//         that follows its appearance or its ejection.
 double SlowStartWeight(const EndpointState& state, Timestamp now, Duration slow_start);
 
 // Back ends are sorted into tiers, best first. The less loaded of two drawn from the best tier is
@@ -42,11 +41,10 @@
 //   2. back ends over that share, whose connection is closed after the answer;
 //   3. back ends that shed load;
 //   4. back ends that this request was sent to before;
-//   5. probes of back ends that are ejected, or leaving by this node's own evidence. A probe is
-//   made
-//      only by a request's first attempt, only where no back end is in use at all, and rarely (see
-//      EndpointState::next_probe). The node's evidence may be wrong: when all back ends shed load
-//      for a moment, probes notice their return without a long wait.
+//   5. back ends that are ejected, or leaving by this node's own evidence, as a probe. Probes are
+//      made only by a request's first attempt, only where no back end is in use at all, and rarely
+//      (see EndpointState::next_probe). The node's evidence may be wrong: when all back ends shed
+//      load for a moment, probes notice their return without a long wait.
 // Back ends that leave by the platform's list or are at their in-flight limit are never chosen.
 // Not thread-safe (scratch space).
 class EndpointPicker {
--- a/src/routing/rate_limiter.h
+++ b/src/routing/rate_limiter.h
@@ -28,11 +28,11 @@
   bool TryAcquire(Timestamp now, std::uint32_t limit, const FleetShare& share);
 
  private:
-  std::int64_t second_ =
-      -1;  // Second of the last request that passed, where each node has tokens every second.
+  // Second of the last request that passed, where each node has a token every second.
+  std::int64_t second_ = -1;
   std::uint64_t spent_ = 0;  // Tokens spent in second_.
-  std::int64_t token_second_ =
-      -1;  // Second of the last spent token, where nodes outnumber the limit.
+  // Second of the last spent token, where nodes outnumber the limit.
+  std::int64_t token_second_ = -1;
 };
 
 }  // namespace copperlead
--- a/src/routing/request_router.h
+++ b/src/routing/request_router.h
@@ -23,7 +23,7 @@
   std::string path;                   // Path as received, without the query.
   std::string request_id;             // Set by the caller or generated; determines the site.
   std::optional<Duration> time_left;  // Value of `copperlead-deadline-ms`.
-  bool already_retried = false;       // By `copperlead-attempt`, a node upstream has retried.
+  bool already_retried = false;       // A node upstream has retried (`copperlead-attempt`).
   // True when there is no body or it is buffered completely. When false, the body must not be read
   // before the first byte of the request is written: until then the request may go to another back
   // end.
@@ -34,12 +34,11 @@
 struct SendAttempt {
   Endpoint endpoint;
   Duration progress_timeout{};        // Maximum time without progress.
-  std::optional<Duration> time_left;  // For the whole call; forwarded in the deadline header.
+  std::optional<Duration> time_left;  // Time for the whole call; forwarded in the deadline header.
   std::uint32_t attempt = 1;          // Forwarded as `copperlead-attempt`.
   bool allow_idle_connection = true;  // False: only a new or very recently used connection.
-  const std::string* secret =
-      nullptr;  // For `Authorization: Bearer`; valid while the session exists.
-  const std::string* path = nullptr;  // Normalized path, forwarded instead of the received one.
+  const std::string* secret = nullptr;  // Bearer token; valid while the session exists.
+  const std::string* path = nullptr;    // Normalized path, forwarded instead of the received one.
   bool keep_connection = true;  // False: the node's share of this back end's connections is used;
                                 // close the connection after the answer.
 };
@@ -70,11 +69,10 @@
 struct AnswerHead {
   int status = 200;
   bool says_not_run = false;                    // `copperlead-outcome: not-run` is present.
-  std::optional<std::uint32_t> load_in_flight;  // From `copperlead-load: in_flight/slots`.
+  std::optional<std::uint32_t> load_in_flight;  // `copperlead-load: in_flight/slots`.
   std::optional<std::uint32_t> load_slots;
   std::optional<std::uint32_t> retry_after_seconds;
-  bool closes_connection =
-      false;  // `Connection: close` is present; with a refusal, a sign of draining.
+  bool closes_connection = false;  // `Connection: close`: with a refusal, a sign of draining.
 };
 
 // One request in progress. Its destructor releases the limits and in-flight slots that it holds.
@@ -100,8 +98,7 @@
   Duration slow_start = std::chrono::seconds(5);
   std::uint32_t ejection_failures = 5;  // Consecutive failures that eject a back end.
   Duration ejection_time = std::chrono::seconds(5);
-  double ejection_limit =
-      0.5;  // Maximum share of a site's back ends that are unavailable after an ejection.
+  double ejection_limit = 0.5;  // Maximum share of a site unavailable after an ejection.
 };
 
 // Snapshot of the counters by cause, for metrics.
--- a/src/routing/request_session.h
+++ b/src/routing/request_session.h
@@ -50,8 +50,7 @@
   RouterViewPointer view_;
   const RouteView* route_ = nullptr;
   Deadline deadline_;
-  std::optional<ChosenEndpoint>
-      chosen_;  // Back end of the current attempt; holds an in-flight slot.
+  std::optional<ChosenEndpoint> chosen_;  // Holds an in-flight slot.
   ChoiceFacts choice_;
   bool holds_limits_ = false;
   bool repeatable_ = false;
--- a/src/routing/retry_policy.cc
+++ b/src/routing/retry_policy.cc
@@ -12,8 +12,8 @@
 struct ResultRule {
   AttemptResult result;
   Proof proof;
-  ErrorKind kind;  // The answer when this attempt is the last and no earlier outcome is unknown.
-  bool may_retry;  // Another attempt may succeed.
+  ErrorKind kind;      // The answer after the last attempt, unless an earlier outcome is unknown.
+  bool may_retry;      // Another attempt may succeed.
   bool body_consumed;  // A streamed body was, or may have been, read from the caller.
 };
 
--- a/src/routing/retry_policy.h
+++ b/src/routing/retry_policy.h
@@ -18,7 +18,7 @@
   kLostAfterWrite,      // Some or all was written, then the connection failed.
   kTimeoutAfterWrite,   // No progress within the timeout.
   kDeadlineAfterWrite,  // The caller's deadline passed.
-  kCallerGone,          // The caller left.
+  kCallerGone,          // The caller disconnected.
   kRefused,             // A 5xx or 429 answer says that the request was not run.
   kAnsweredNotRun,      // Any other answer says so: a final result, not a temporary state.
   kAnswered,            // Any other answer.
@@ -26,7 +26,7 @@
 
 // Inputs of the decision other than the attempt's result.
 struct RetryFacts {
-  bool repeatable = false;         // See IsRepeatable().
+  bool repeatable = false;         // Result of IsRepeatable().
   bool body_can_be_resent = true;  // No body, or buffered whole.
   bool already_retried = false;    // A node upstream has retried; no second layer retries.
   // Set when an earlier attempt of this request may have been run: the kind of its result.
--- a/src/routing/route_index.cc
+++ b/src/routing/route_index.cc
@@ -19,8 +19,7 @@
   }
 };
 
-// Removes the next segment and the '/' before it from `rest`; `segment` receives it without the
-// '/'.
+// Removes the next segment and the '/' before it from `rest`; `segment` receives only the segment.
 // @return false when no segment remains. A trailing '/' is not a segment.
 bool TakeSegment(std::string_view& rest, std::string_view& segment) {
   if (!rest.empty() && rest.front() == '/') rest.remove_prefix(1);
--- a/src/routing/router_view.h
+++ b/src/routing/router_view.h
@@ -22,8 +22,7 @@
 struct RouteLimits {
   RateLimiter rate;
   InFlightLimiter in_flight;
-  std::uint64_t path_hash =
-      0;  // Rotates the ranks, so that no rank gets the larger part on all routes.
+  std::uint64_t path_hash = 0;  // Rotates ranks: none gets the larger part on all routes.
 };
 
 struct ServiceView {
--- a/src/routing/subsetting.cc
+++ b/src/routing/subsetting.cc
@@ -29,8 +29,7 @@
   return DivideUp(shape.live_nodes, shape.back_ends) * size;
 }
 
-// @return the largest subset size, at least 1, with at most `max_kept` nodes per back end if
-// possible.
+// @return the largest subset size with at most `max_kept` nodes per back end; 1 when there is none.
 std::size_t SubsetSize(const SubsetShape& shape, std::size_t max_kept) {
   std::size_t size = shape.back_ends;
   while (size > 1 && NodesPerBackEnd(shape, size) > max_kept) --size;
@@ -38,9 +37,8 @@
 }
 
 // @return the distance between a node's back ends. It differs from block to block, so that the
-// nodes
-//         of a failed back end don't all move to the same other one. Taking `size` steps visits no
-//         back end twice.
+//         nodes of a failed back end don't all move to the same other one. Taking `size` steps
+//         visits no back end twice.
 std::size_t Stride(const SubsetShape& shape, std::size_t block, std::size_t size) {
   if (shape.back_ends < 3) return 1;
   std::size_t stride = 1 + block % (shape.back_ends - 1);
