--- a/src/sidecar/earliest_timer.cc
+++ b/src/sidecar/earliest_timer.cc
@@ -7,7 +7,8 @@
 namespace
 {
 
-constexpr Milliseconds afterDue{ 1 }; // So that what is due then counts as past.
+// Makes sure that the due time has passed when the action runs.
+constexpr Milliseconds dueMargin{ 1 };
 
 } // namespace
 
@@ -23,7 +24,7 @@
         return;
 
     *due = when;
-    reactor->RunAt (when + afterDue,
+    reactor->RunAt (when + dueMargin,
                     [armed = std::weak_ptr (due), when, run = std::move (action)]
                     {
                         const auto current = armed.lock();
--- a/src/sidecar/earliest_timer.h
+++ b/src/sidecar/earliest_timer.h
@@ -1,6 +1,6 @@
-/** A timer that is armed for several times and runs at the earliest of them. Of the reactor's
- * thread.
- */
+/** A timer that can be armed for several times and fires at the earliest. To be used on the
+    reactor's thread only.
+*/
 #pragma once
 
 #include <functional>
@@ -17,14 +17,15 @@
 public:
     explicit EarliestTimer (std::shared_ptr<Reactor> reactorToUse);
 
-    /** Runs the action just after `when`, unless the timer is armed for an earlier time already. It
-        is disarmed before the action, which may arm it again; it never runs once this is destroyed.
+    /** Runs the action just after `when`, unless the timer is already armed for that time or an
+        earlier one. The timer is disarmed before the action runs, so the action may arm it again.
+        The action does not run once the timer is destroyed.
     */
     void arm (Timestamp when, std::function<void()> action);
 
 private:
     std::shared_ptr<Reactor> reactor;
-    std::shared_ptr<Timestamp> due; /**< The largest time while it isn't armed. */
+    std::shared_ptr<Timestamp> due; /**< Timestamp::max() while it isn't armed. */
 };
 
 } // namespace copperlead::sidecar
--- a/src/sidecar/header_names.h
+++ b/src/sidecar/header_names.h
@@ -1,5 +1,5 @@
-/** The header fields by which clients, nodes and instances speak. The product's own names are the
-    defaults; settings may give others.
+/** The names of the header fields that clients, nodes and instances exchange. Settings may replace
+    the default names.
 */
 #pragma once
 
@@ -10,16 +10,17 @@
 
 struct HeaderNames
 {
-    std::string requestId = "copperlead-request-id"; /**< Of a client's attempt. */
+    std::string requestId = "copperlead-request-id"; /**< Identifies a client's attempt. */
     std::string deadline = "copperlead-deadline-ms"; /**< How long the client waits, in ms. */
-    std::string signature = "copperlead-signature";  /**< Of the instance, on its answers. */
-    std::string expectInstance = "copperlead-expect-instance"; /**< Another one answers 421. */
-    std::string instanceId = "copperlead-instance";            /**< On 421 and health answers. */
-    std::string notRun = "copperlead-not-run";   /**< On answers: the instance didn't run it. */
-    std::string coldTime = "copperlead-cold-ms"; /**< On health answers: how long it stays cold. */
-    std::string caller = "copperlead-caller";    /**< The service where the request began. */
-    std::string credential = "copperlead-credential"; /**< A client's key; goes no further. */
-    std::string tenant = "copperlead-tenant"; /**< To instances: whose key the client showed. */
+    std::string signature = "copperlead-signature"; /**< The instance's signature of its answers. */
+    std::string expectInstance =
+        "copperlead-expect-instance";               /**< Any other instance answers 421. */
+    std::string instanceId = "copperlead-instance"; /**< On 421 and health answers. */
+    std::string notRun = "copperlead-not-run";   /**< On answers to requests that have not run. */
+    std::string coldTime = "copperlead-cold-ms"; /**< On health answers: remaining cold time. */
+    std::string caller = "copperlead-caller";    /**< The service that sent the request. */
+    std::string credential = "copperlead-credential"; /**< A client's key; not forwarded. */
+    std::string tenant = "copperlead-tenant"; /**< To instances: the tenant of the client's key. */
 };
 
 } // namespace copperlead::sidecar
--- a/src/sidecar/settings_file.cc
+++ b/src/sidecar/settings_file.cc
@@ -7,17 +7,17 @@
 namespace
 {
 
-/** @returns a number that differs when the file was written anew; 0 without a file */
+/** @returns a number that changes when the file is rewritten; 0 if there is no file */
 std::int64_t stampOf (const std::string& path)
 {
-    struct stat facts
+    struct stat status
     {
     };
 
-    if (path.empty() || stat (path.c_str(), &facts) != 0)
+    if (path.empty() || stat (path.c_str(), &status) != 0)
         return 0;
 
-    return facts.st_mtim.tv_sec * 1'000'000'000 + facts.st_mtim.tv_nsec + facts.st_size;
+    return status.st_mtim.tv_sec * 1'000'000'000 + status.st_mtim.tv_nsec + status.st_size;
 }
 
 } // namespace
--- a/src/sidecar/settings_file.h
+++ b/src/sidecar/settings_file.h
@@ -1,4 +1,4 @@
-/** Tells when the settings file has changed since it was last read. */
+/** Detects changes of the settings file since it was last read. */
 #pragma once
 
 #include <cstdint>
@@ -10,15 +10,15 @@
 class SettingsFile
 {
 public:
-    /** @param pathToWatch  empty: there is none */
+    /** @param pathToWatch  empty if there is no settings file */
     explicit SettingsFile (std::string pathToWatch);
 
     const std::string& path() const { return filePath; }
 
-    /** A file that is missing has not changed. */
+    /** Whether the file has changed. A missing file counts as unchanged. */
     bool changed() const;
 
-    /** To be called before it is read. */
+    /** Must be called before the file is read. */
     void markRead();
 
 private:
--- a/src/sidecar/sidecar_settings.cc
+++ b/src/sidecar/sidecar_settings.cc
@@ -17,7 +17,7 @@
 
 namespace options = boost::program_options;
 
-constexpr int mostExtraSlots = 64;
+constexpr int maxExtraSlots = 64;
 
 options::options_description describeOptions()
 {
@@ -82,7 +82,7 @@
     return Fail (ErrorKind::kBadSetting, key, "\"" + value + "\" is not allowed: " + allowed);
 }
 
-/** Typed access to the merged values. */
+/** Typed access to the values merged from flags and file. */
 class Values
 {
 public:
@@ -117,36 +117,36 @@
         return parsed.value();
     }
 
-    Result<int> whole (const std::string& key, int least, int most) const
+    Result<int> whole (const std::string& key, int minimum, int maximum) const
     {
         const auto value = text (key);
         int number = 0;
         const auto* const end = value.data() + value.size();
         const auto [stop, code] = std::from_chars (value.data(), end, number);
 
-        if (code != std::errc() || stop != end || number < least || number > most)
+        if (code != std::errc() || stop != end || number < minimum || number > maximum)
             return bad (key, value,
-                        "a whole number from " + std::to_string (least) + " to " +
-                            std::to_string (most));
+                        "a whole number from " + std::to_string (minimum) + " to " +
+                            std::to_string (maximum));
 
         return number;
     }
 
-    /** A number, or `otherwise` for an empty text. */
-    Result<double> number (const std::string& key, double least, double most,
-                           double otherwise) const
+    /** Reads a number, or returns `defaultValue` for an empty text. */
+    Result<double> number (const std::string& key, double minimum, double maximum,
+                           double defaultValue) const
     {
         const auto value = text (key);
 
         if (value.empty())
-            return otherwise;
+            return defaultValue;
 
         double number = 0;
         const auto* const end = value.data() + value.size();
         const auto [stop, code] = std::from_chars (value.data(), end, number);
 
-        if (code != std::errc() || stop != end || ! (number >= least && number <= most))
-            return bad (key, value, fmt::format ("a number from {} to {}", least, most));
+        if (code != std::errc() || stop != end || ! (number >= minimum && number <= maximum))
+            return bad (key, value, fmt::format ("a number from {} to {}", minimum, maximum));
 
         return number;
     }
@@ -155,7 +155,7 @@
     const options::variables_map& map;
 };
 
-/** ZONE=REGION pairs, joined by commas. */
+/** Reads ZONE=REGION pairs that are joined by commas. */
 Result<std::map<std::string, std::string>> readZoneRegions (const Values& values)
 {
     const std::string key = "zone-regions";
@@ -195,8 +195,9 @@
     return Done{};
 }
 
-/** A quarter of the bound, so that a lost call and a change of reader still leave time. Shorter
-   ones would be priced for nothing, longer ones would delay what is found out by watching alone.
+/** The interval is a quarter of the bound, which leaves time for a lost call and a change of
+   reader. Shorter intervals would cost calls to the source without benefit; longer ones would delay
+   changes that are only noticed by watching.
 */
 Milliseconds watchIntervalFor (double boundMs)
 {
@@ -207,19 +208,19 @@
 
 Result<Done> readCrashLimits (const Values& values, mesh::CrashLimits& limits)
 {
-    BOOST_LEAF_AUTO (most, values.number ("crash-limit", 0, 8, limits.most));
+    BOOST_LEAF_AUTO (limit, values.number ("crash-limit", 0, 8, limits.most));
     BOOST_LEAF_AUTO (
         hold, values.number ("crash-hold-s", 1, 86'400, mesh::toMilliseconds (limits.hold) / 1000));
 
-    if (std::floor (most) != most)
+    if (std::floor (limit) != limit)
         return bad ("crash-limit", values.text ("crash-limit"), "a whole number from 0 to 8");
 
-    limits.most = static_cast<int> (most);
+    limits.most = static_cast<int> (limit);
     limits.hold = mesh::fromSeconds (hold);
     return Done{};
 }
 
-Result<Done> readFigures (const Values& values, SidecarSettings& settings)
+Result<Done> readNumbers (const Values& values, SidecarSettings& settings)
 {
     BOOST_LEAF_AUTO (grace, values.number ("grace-s", 1, 3600, 6));
     BOOST_LEAF_AUTO (window, values.number ("retry-window-s", 1, 3600, 10));
@@ -238,7 +239,7 @@
     return Done{};
 }
 
-/** "PORT/PATH", on the IP of the outbound address. */
+/** Reads "PORT/PATH"; the IP is that of the outbound address. */
 Result<Done> readMetrics (const Values& values, SidecarSettings& settings)
 {
     const auto text = values.text ("metrics");
@@ -285,8 +286,8 @@
     BOOST_LEAF_ASSIGN (settings.readiness, values.address ("readiness"));
     BOOST_LEAF_ASSIGN (settings.instance, values.address ("instance"));
     BOOST_LEAF_ASSIGN (settings.source, values.address ("source"));
-    BOOST_LEAF_ASSIGN (settings.extraSlots, values.whole ("extra-slots", 0, mostExtraSlots));
-    BOOST_LEAF_CHECK (readFigures (values, settings));
+    BOOST_LEAF_ASSIGN (settings.extraSlots, values.whole ("extra-slots", 0, maxExtraSlots));
+    BOOST_LEAF_CHECK (readNumbers (values, settings));
     BOOST_LEAF_CHECK (readTenancy (values, settings));
     BOOST_LEAF_CHECK (readCrashLimits (values, settings.crashes));
 
@@ -338,9 +339,9 @@
 
 int readerStrength (const SidecarSettings& settings)
 {
-    constexpr double strongCpuShare = 0.2, strongLinkMbps = 50; // Of machines that should read.
-    return (settings.cpuShare >= strongCpuShare ? 1 : 0) +
-           (settings.linkMbps >= strongLinkMbps ? 1 : 0);
+    // The minimum resources that a preferred reader of the source has.
+    constexpr double minCpuShare = 0.2, minLinkMbps = 50;
+    return (settings.cpuShare >= minCpuShare ? 1 : 0) + (settings.linkMbps >= minLinkMbps ? 1 : 0);
 }
 
 Result<ParsedSidecarSettings> parseSidecarSettings (const std::vector<std::string>& arguments)
--- a/src/sidecar/sidecar_settings.h
+++ b/src/sidecar/sidecar_settings.h
@@ -1,4 +1,6 @@
-/** Settings of copperlead-sidecar: flags and settings-file keys are the same. Checked at start. */
+/** Settings of copperlead-sidecar. Flags and the keys of the settings file have the same names. All
+    values are checked at start.
+*/
 #pragma once
 
 #include <map>
@@ -19,35 +21,35 @@
 
 struct SidecarSettings
 {
-    std::string file; /**< That the settings were read from; empty: flags alone. */
+    std::string file; /**< The settings file; empty if there are only flags. */
     std::string id, zone;
-    std::string service;    /**< Of the instance on this machine. */
-    SocketAddress outbound; /**< Takes requests of clients and the instance. */
-    SocketAddress inbound;  /**< Takes hop calls of other nodes; all use the same port. */
+    std::string service;    /**< Service of the instance on this machine. */
+    SocketAddress outbound; /**< For requests of clients and the instance. */
+    SocketAddress inbound;  /**< For hop calls of other nodes; all use the same port. */
     SocketAddress readiness;
     std::string readinessPath;
     SocketAddress instance;
     SocketAddress source;
-    SocketAddress relay;       /**< For beats between nodes, UDP; empty: reads alone. */
-    SocketAddress loadQueries; /**< Between nodes, UDP; empty: instances are chosen unasked. */
-    SocketAddress metrics;     /**< Empty: none. */
-    double cpuShare = 1, linkMbps = 1000; /**< Of this machine; strong ones read the source. */
+    SocketAddress relay; /**< UDP, for heartbeats; if empty, this node always reads the source. */
+    SocketAddress loadQueries; /**< UDP; if empty, instances are chosen without queries. */
+    SocketAddress metrics;     /**< Empty if disabled. */
+    double cpuShare = 1, linkMbps = 1000; /**< Of this machine; see readerStrength(). */
     std::string metricsPath;
     HeaderNames names;
     int extraSlots = 0;
-    Milliseconds grace{ 6000 };        /**< From a stop's signal until the process is killed. */
-    Milliseconds watchInterval{ 200 }; /**< Between two watches of the source, at least. */
+    Milliseconds grace{ 6000 };        /**< From the stop signal until the process is killed. */
+    Milliseconds watchInterval{ 200 }; /**< Minimum time between two watches of the source. */
     double retryRatio = 0.2, retrySlack = 64;
     Milliseconds retryWindow{ 10'000 };
     mesh::ColdBounds coldBounds;
     mesh::CredentialSettings credentials;
     mesh::QuotaBounds quotas;
     mesh::CrashLimits crashes;
-    std::map<std::string, std::string> zoneRegions; /**< Empty: one region. */
+    std::map<std::string, std::string> zoneRegions; /**< Empty for a single region. */
 };
 
-/** The strength of this machine among those that may read the source: a step each for its processor
-    and its link.
+/** The rank of this machine as a reader of the source: one point each for a sufficient share of
+    processor cores and a sufficient link.
 */
 int readerStrength (const SidecarSettings& settings);
 
@@ -58,8 +60,9 @@
     std::string helpText;
 };
 
-/** Reads flags and the file named by --settings (flags win); checks every value.
-    @param arguments  without the program's name
+/** Reads the flags and the file named by --settings, where flags take precedence, and checks every
+    value.
+    @param arguments  the command line without the program's name
     @returns kBadSetting or kUnreadableFile whose place is the key and whose cause names the value
              and what is allowed
 */
