--- a/src/sidecar/hop/hop_caller.cc
+++ b/src/sidecar/hop/hop_caller.cc
@@ -7,7 +7,8 @@
 namespace
 {
 
-constexpr Milliseconds answerGrace{ 30 }; // For the instance's own answer at the deadline.
+// Leaves time for an answer that the instance gives at the deadline.
+constexpr Milliseconds answerGrace{ 30 };
 
 ClientSettings peerClientSettings()
 {
@@ -31,7 +32,9 @@
     }
 }
 
-/** A node that wasn't reached has run nothing; one that doesn't say so may have. */
+/** Derives the report of a call. A node that wasn't reached has run nothing; a node that was
+    reached may have run the request unless its report says otherwise.
+*/
 mesh::HopReport reportOf (const CallResult& result)
 {
     mesh::HopReport report;
@@ -45,8 +48,8 @@
     }
     else if (result.end == CallEnd::answered)
     {
-        const auto told = mesh::decodeHopReport (onlyValue (result.head.fields, mesh::hopField));
-        report = told.value_or (report);
+        const auto decoded = mesh::decodeHopReport (onlyValue (result.head.fields, mesh::hopField));
+        report = decoded.value_or (report);
     }
 
     return report;
--- a/src/sidecar/hop/hop_caller.h
+++ b/src/sidecar/hop/hop_caller.h
@@ -1,5 +1,5 @@
-/** Carries hop calls to the node beside an instance: to this node's own last hop without a
-    connection, to another node over HTTP. Of the reactor's thread.
+/** Sends hop calls to the node beside an instance: directly to the last hop of this node, or over
+    HTTP to another node. To be used on the reactor's thread only.
 */
 #pragma once
 
@@ -12,19 +12,19 @@
 namespace copperlead::sidecar
 {
 
-/** Whether the other node took the call and answered. */
+/** Whether a call reached the other node and was answered. */
 enum class HopDelivery : std::uint8_t
 {
-    answered,    /**< Its report stands in the answer. */
+    answered,    /**< The answer holds the node's report. */
     unreachable, /**< Nothing was sent. */
-    lost         /**< Sent, and not answered: it may have run. */
+    lost         /**< Sent but not answered; the request may have run. */
 };
 
-/** A call that is under way. */
+/** A call in progress. */
 class HopCallHandle
 {
 public:
-    /** The answer is no longer wanted; the callback doesn't come. */
+    /** Cancels the call; its callback is not called. */
     void cancel();
 
     bool isLocal() const { return local != 0; }
@@ -32,7 +32,7 @@
 private:
     friend class HopCaller;
     std::shared_ptr<LastHop> lastHop;
-    LastHop::CallId local = 0; /**< 0: it went to another node. */
+    LastHop::CallId local = 0; /**< 0 for a call to another node. */
     CallPointer remote;
 };
 
@@ -41,8 +41,8 @@
 public:
     using Callback = std::function<void (HopDelivery, const HopAnswer&)>;
 
-    /** @param ownIpToUse  instances there are reached without a connection
-        @param port        on which every node takes hop calls
+    /** @param ownIpToUse  IP of this node, whose instance is called without a connection
+        @param port        port for hop calls, the same on every node
     */
     HopCaller (const std::shared_ptr<Reactor>& reactor, std::shared_ptr<LastHop> lastHopToUse,
                std::string ownIpToUse, std::uint16_t port);
@@ -50,9 +50,9 @@
 
     bool isLocal (const std::string& ip) const { return ip == ownIp; }
 
-    /** @param ip        of the node
-        @param deadline  of the request; the node gets a little longer to answer at it
-        @param callback  may come before this returns
+    /** @param ip        IP of the node to call
+        @param deadline  deadline of the request; the node has a short grace period after it
+        @param callback  may be called before this returns
     */
     HopCallHandle send (const std::string& ip, HopCall call, Timestamp deadline, Callback callback);
 
