--- a/src/sidecar/hop/active_request.cc
+++ b/src/sidecar/hop/active_request.cc
@@ -118,14 +118,14 @@
     // The callback resets `search` and may run before begin() returns.
     const auto startedSearch = search;
     startedSearch->begin (
-        [weak = weak_from_this()] (const SearchResult& found)
+        [weak = weak_from_this()] (const SearchResult& result)
         {
             if (const auto self = weak.lock())
-                self->onSearchEnded (found);
+                self->onSearchEnded (result);
         });
 }
 
-void ActiveRequest::onSearchEnded (const SearchResult& found)
+void ActiveRequest::onSearchEnded (const SearchResult& result)
 {
     search.reset();
 
@@ -135,22 +135,22 @@
     if (exchange->clientLeft())
         return onClientLeft();
 
-    if (found.step == mesh::PollStep::take)
-        return launch (found.choice);
+    if (result.step == mesh::PollStep::take)
+        return launch (result.choice);
 
-    logSearch (found);
+    logSearch (result);
     mesh::Choice choice;
 
     // If no node answered, the choice relies on the latest known loads.
-    if (found.step == mesh::PollStep::unheard &&
+    if (result.step == mesh::PollStep::unheard &&
         hop->chooser.choose (now(), *hop->directory, choiceRequest(), choice))
         return launch (choice);
 
     if (activeCount() > 0)
         return;
 
-    if (found.step == mesh::PollStep::refuse)
-        lastAnswer.report.cause = found.cause;
+    if (result.step == mesh::PollStep::refuse)
+        lastAnswer.report.cause = result.cause;
 
     finish (withoutRetry (facts(), lastOutcome), lastAnswer);
 }
--- a/src/sidecar/hop/active_request.h
+++ b/src/sidecar/hop/active_request.h
@@ -1,6 +1,4 @@
-/** A client request in the first hop, with its attempts and its single answer. Internal to
- * FirstHop.
- */
+/** A client request in the first hop, with its attempts and answer. Internal to FirstHop. */
 #pragma once
 
 #include <memory>
@@ -47,7 +45,7 @@
     void startAttempt();
     mesh::ChoiceRequest choiceRequest() const;
     mesh::LoadQuery loadQuery() const;
-    void onSearchEnded (const SearchResult& found);
+    void onSearchEnded (const SearchResult& result);
     void launch (const mesh::Choice& choice);
     void refuseAsCrashSuspect();
     HopCall makeCall (const mesh::Choice& choice) const;
@@ -74,7 +72,7 @@
     void refuse (mesh::HopCause cause);
     void logEnd (EventKind kind, int status, std::string_view cause,
                  std::optional<Milliseconds> retryAfter = std::nullopt);
-    void logSearch (const SearchResult& found);
+    void logSearch (const SearchResult& result);
     void logAttempt (const Attempt& attempt, const HopAnswer& answer, mesh::AttemptOutcome outcome,
                      mesh::NextStep step);
 
--- a/src/sidecar/hop/active_request_log.cc
+++ b/src/sidecar/hop/active_request_log.cc
@@ -29,7 +29,7 @@
         { "arrivals", std::int64_t (arrivals) },
         { "took_ms", toMilliseconds (at - exchange->arrivedAt) },
         { "left_ms", toMilliseconds (deadline - at) },
-        { "budget", hop->budgetOf (service).left (at, hop->nodes()) },
+        { "budget", hop->budgetOf (service).left (at, hop->nodeCount()) },
         { "instance", attempts.empty() ? std::string_view() : attempts.back().choice.instance.id }
     };
 
@@ -42,17 +42,17 @@
     hop->log->write (at, kind, known);
 }
 
-void ActiveRequest::logSearch (const SearchResult& found)
+void ActiveRequest::logSearch (const SearchResult& result)
 {
     hop->log->write (now(), EventKind::searchFailed,
                      { { "request", requestId },
                        { "service", service },
-                       { "outcome", nameOf (found.step, mesh::pollStepNames) },
-                       { "cause", nameOf (found.cause, mesh::hopCauseNames) },
-                       { "asked", static_cast<std::int64_t> (found.asked) },
-                       { "replies", static_cast<std::int64_t> (found.replies) },
-                       { "widened", found.widened ? "yes" : "no" },
-                       { "took_ms", found.tookMs },
+                       { "outcome", nameOf (result.step, mesh::pollStepNames) },
+                       { "cause", nameOf (result.cause, mesh::hopCauseNames) },
+                       { "asked", static_cast<std::int64_t> (result.asked) },
+                       { "replies", static_cast<std::int64_t> (result.replies) },
+                       { "widened", result.widened ? "yes" : "no" },
+                       { "took_ms", result.tookMs },
                        { "attempts", static_cast<std::int64_t> (attempts.size()) } });
 }
 
--- a/src/sidecar/hop/first_hop.cc
+++ b/src/sidecar/hop/first_hop.cc
@@ -134,15 +134,15 @@
 
 double FirstHop::retryBudgetLeft (Timestamp now)
 {
-    auto least = settings.budget.slack;
+    auto minimum = settings.budget.slack;
 
     for (auto& [service, budget] : budgets)
-        least = std::min (least, budget.left (now, nodes()));
+        minimum = std::min (minimum, budget.left (now, nodeCount()));
 
-    return least;
+    return minimum;
 }
 
-std::size_t FirstHop::nodes() const { return directory == nullptr ? 1 : directory->nodes; }
+std::size_t FirstHop::nodeCount() const { return directory == nullptr ? 1 : directory->nodes; }
 
 mesh::RetryBudget& FirstHop::budgetOf (const std::string& service)
 {
@@ -225,7 +225,7 @@
                    hold.left);
 }
 
-void FirstHop::take (const ExchangePointer& exchange)
+void FirstHop::handle (const ExchangePointer& exchange)
 {
     ++counts.requests;
 
--- a/src/sidecar/hop/first_hop.h
+++ b/src/sidecar/hop/first_hop.h
@@ -75,7 +75,7 @@
     Result<Done> start();
 
     /** Handles a client's request; its exchange is answered exactly once. */
-    void take (const ExchangePointer& exchange);
+    void handle (const ExchangePointer& exchange);
 
     /** Whether a request may run while earlier requests of its connection do. Only a request that
         may be repeated qualifies, since an answer that closes the connection makes the client send
@@ -150,7 +150,7 @@
     double loggedMsSinceConfirmation() const { return msSinceConfirmation().value_or (-1); }
     mesh::RetryBudget& budgetOf (const std::string& service);
     bool instanceIsIdle() const { return lastHop->admission().running() == 0; }
-    std::size_t nodes() const;
+    std::size_t nodeCount() const;
 
     std::shared_ptr<Reactor> reactor;
     FirstHopSettings settings;
--- a/src/sidecar/hop/instance_search.cc
+++ b/src/sidecar/hop/instance_search.cc
@@ -14,7 +14,7 @@
 // Two random candidates give nearly as good a choice as all instances would, at a cost that does
 // not depend on the size of the fleet. With three, the additional queries cost weak nodes more
 // processor time and bandwidth than the better choice saved.
-constexpr std::size_t queriesPerRound = 2;
+constexpr std::size_t sampleSize = 2;
 
 // Covers several round trips to another zone and the time that a busy machine with a tenth of a
 // core needs to reply. It is far below any target latency.
@@ -63,7 +63,7 @@
         if (poll.endsSearch (localReply))
         {
             ++context.counts->local;
-            return take (*local, localReply);
+            return choose (*local, localReply);
         }
     }
 
@@ -74,7 +74,7 @@
         [weak = weak_from_this()] (const mesh::LoadReply& reply)
         {
             if (const auto self = weak.lock())
-                self->follow (self->poll.replied (reply));
+                self->applyStep (self->poll.replied (reply));
         });
     query.number = number;
     const auto asked = ask (mesh::Proximity::sameZone);
@@ -83,11 +83,11 @@
     {
         // The local instance takes part in the poll as one that has already replied.
         poll.ask (*local, 0);
-        follow (poll.replied (localReply));
+        applyStep (poll.replied (localReply));
     }
     else if (asked == 0)
     {
-        follow (poll.timeUp());
+        applyStep (poll.timeUp());
     }
 
     if (callback != nullptr && ! widened)
@@ -124,7 +124,7 @@
         remaining.excluded.push_back (asked.instance.id);
 
     const auto instances =
-        context.chooser->sample (startedAt, *directory, remaining, queriesPerRound, proximity);
+        context.chooser->sample (startedAt, *directory, remaining, sampleSize, proximity);
 
     for (const auto& instance : instances)
     {
@@ -155,7 +155,7 @@
     if (overdue < waited)
         suspectUnanswered();
 
-    follow (poll.timeUp());
+    applyStep (poll.timeUp());
 }
 
 void InstanceSearch::suspectUnanswered()
@@ -165,13 +165,13 @@
             context.chooser->suspect (now(), asked.instance.id, mesh::silentAvoidance);
 }
 
-void InstanceSearch::follow (mesh::PollStep step)
+void InstanceSearch::applyStep (mesh::PollStep step)
 {
     if (callback == nullptr || step == mesh::PollStep::wait)
         return;
 
     if (step == mesh::PollStep::take)
-        return take (poll.best().instance, poll.best().reply);
+        return choose (poll.best().instance, poll.best().reply);
 
     if (step == mesh::PollStep::widen)
         return widen();
@@ -202,12 +202,12 @@
 void InstanceSearch::awaitReplies (std::size_t queried, Milliseconds timeout)
 {
     if (queried == 0)
-        return follow (poll.timeUp());
+        return applyStep (poll.timeUp());
 
     armTimer (timeout);
 }
 
-void InstanceSearch::take (const mesh::Instance& instance, const mesh::LoadReply& reply)
+void InstanceSearch::choose (const mesh::Instance& instance, const mesh::LoadReply& reply)
 {
     SearchResult found;
     found.step = mesh::PollStep::take;
--- a/src/sidecar/hop/instance_search.h
+++ b/src/sidecar/hop/instance_search.h
@@ -66,8 +66,8 @@
     void widenToOtherRegions();
     void awaitReplies (std::size_t queried, Milliseconds timeout);
     void armTimer (Milliseconds timeout);
-    void follow (mesh::PollStep step);
-    void take (const mesh::Instance& instance, const mesh::LoadReply& reply);
+    void applyStep (mesh::PollStep step);
+    void choose (const mesh::Instance& instance, const mesh::LoadReply& reply);
     void onTimeUp (Duration overdue, Milliseconds waited);
     void suspectUnanswered();
     void end (SearchResult found);
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -40,8 +40,9 @@
              std::shared_ptr<DecisionLog> logToUse);
     ~Sidecar();
 
-    /** Binds all addresses and starts the servers. @returns kBadAddress or kAddressInUse naming the
-     * address */
+    /** Binds all addresses and starts the servers.
+        @returns kBadAddress or kAddressInUse naming the address
+    */
     Result<Done> start();
 
     /** Applies an update from the source, or from a node that has read it. A configuration that is
--- a/src/sidecar/sidecar_metrics.h
+++ b/src/sidecar/sidecar_metrics.h
@@ -1,5 +1,4 @@
-/** The metrics of a sidecar in the Prometheus text format. The source file holds the complete list.
- */
+/** The metrics of a sidecar in the Prometheus text format. sidecar_metrics.cc lists all of them. */
 #pragma once
 
 #include <array>
--- a/src/sidecar/sidecar_servers.cc
+++ b/src/sidecar/sidecar_servers.cc
@@ -71,7 +71,7 @@
         std::make_shared<HttpServer> (reactor, serverSettings (hopLimits, &Sidecar::answerMetrics));
 }
 
-void Sidecar::handleRequest (const ExchangePointer& exchange) { firstHop->take (exchange); }
+void Sidecar::handleRequest (const ExchangePointer& exchange) { firstHop->handle (exchange); }
 
 void Sidecar::answerPeer (const ExchangePointer& exchange) { peerEndpoint->take (exchange); }
 
--- a/src/sidecar/sidecar_settings.cc
+++ b/src/sidecar/sidecar_settings.cc
@@ -117,7 +117,7 @@
         return parsed.value();
     }
 
-    Result<int> whole (const std::string& key, int minimum, int maximum) const
+    Result<int> wholeNumber (const std::string& key, int minimum, int maximum) const
     {
         const auto value = text (key);
         int number = 0;
@@ -159,16 +159,16 @@
 Result<std::map<std::string, std::string>> readZoneRegions (const Values& values)
 {
     const std::string key = "zone-regions";
-    const auto whole = values.text (key);
+    const auto value = values.text (key);
     std::map<std::string, std::string> regions;
-    std::istringstream pairs (whole);
+    std::istringstream pairs (value);
 
     for (std::string pair; std::getline (pairs, pair, ',');)
     {
         const auto equals = pair.find ('=');
 
         if (equals == 0 || equals == std::string::npos || equals + 1 == pair.size())
-            return bad (key, whole, "ZONE=REGION pairs, joined by commas");
+            return bad (key, value, "ZONE=REGION pairs, joined by commas");
 
         regions[pair.substr (0, equals)] = pair.substr (equals + 1);
     }
@@ -286,7 +286,7 @@
     BOOST_LEAF_ASSIGN (settings.readiness, values.address ("readiness"));
     BOOST_LEAF_ASSIGN (settings.instance, values.address ("instance"));
     BOOST_LEAF_ASSIGN (settings.source, values.address ("source"));
-    BOOST_LEAF_ASSIGN (settings.extraSlots, values.whole ("extra-slots", 0, maxExtraSlots));
+    BOOST_LEAF_ASSIGN (settings.extraSlots, values.wholeNumber ("extra-slots", 0, maxExtraSlots));
     BOOST_LEAF_CHECK (readNumbers (values, settings));
     BOOST_LEAF_CHECK (readTenancy (values, settings));
     BOOST_LEAF_CHECK (readCrashLimits (values, settings.crashes));
--- a/src/sidecar/sidecar_stop.cc
+++ b/src/sidecar/sidecar_stop.cc
@@ -1,5 +1,4 @@
-/** The planned stop of a sidecar, during which active requests are finished and no new ones start.
- */
+/** The planned stop of a sidecar: active requests are finished and no new ones start. */
 #include <utility>
 
 #include "sidecar/sidecar.h"
--- a/tests/sidecar/decision_log_test.cc
+++ b/tests/sidecar/decision_log_test.cc
@@ -78,7 +78,7 @@
     EXPECT_EQ (written[0]["request"], "a\"b\\c\n\u00ff");
 }
 
-TEST_F (Logging, EachKindHasABudgetASecondAndWhatIsLeftOutIsCounted)
+TEST_F (Logging, EachKindHasALimitPerSecondAndOmittedLinesAreCounted)
 {
     DecisionLog log ("n1", ends[1]);
     const auto budget = describe (EventKind::requestFailed).linesPerSecond;
@@ -96,7 +96,7 @@
                1);
 }
 
-TEST_F (Logging, AReaderThatStallsNeverHoldsTheWriterUp)
+TEST_F (Logging, AStalledReaderNeverBlocksTheWriter)
 {
     DecisionLog log ("n1", ends[1]);
     const std::string text (2000, 'x');
@@ -115,7 +115,7 @@
     EXPECT_FALSE (lines().empty());
 }
 
-TEST (EventKinds, EachIsDeclaredOnceInItsPlace)
+TEST (EventKinds, EachIsDescribedOnceAtItsIndex)
 {
     std::set<std::string_view> names;
 
--- a/tests/sidecar/sidecar_metrics_test.cc
+++ b/tests/sidecar/sidecar_metrics_test.cc
@@ -12,7 +12,7 @@
 constexpr std::string_view sourceAge = "copperlead_source_word_age_milliseconds ";
 constexpr std::string_view zoneAge = "copperlead_zone_word_age_milliseconds ";
 
-TEST (SidecarMetrics, AgesOfWhatHasNeverBeenAreLeftOut)
+TEST (SidecarMetrics, AgesOfEventsThatNeverHappenedAreOmitted)
 {
     SidecarFigures figures;
     EXPECT_EQ (metricsText (figures).find (sourceAge), std::string::npos);
@@ -33,7 +33,7 @@
     EXPECT_NE (text.find ("{tenant=\"(others)\",outcome=\"passed\"} 3"), std::string::npos);
 }
 
-TEST (Milliseconds, AnAgeIsKnownOnlyOfWhatHasBeen)
+TEST (Milliseconds, AnAgeIsKnownOnlyAfterTheEvent)
 {
     const Timestamp now (std::chrono::milliseconds (1000));
     EXPECT_FALSE (mesh::ageInMilliseconds (now, {}));
--- a/tests/sidecar/sidecar_settings_test.cc
+++ b/tests/sidecar/sidecar_settings_test.cc
@@ -24,7 +24,7 @@
     return Resolve ([&] { return parseSidecarSettings (all); });
 }
 
-TEST (SidecarSettings, DefaultsAndFigures)
+TEST (SidecarSettings, DefaultsAndNumbers)
 {
     const auto parsed = parse ({ "--grace-s", "7.5", "--retry-slack", "" });
     ASSERT_TRUE (parsed);
@@ -36,7 +36,7 @@
     EXPECT_TRUE (settings.metrics.empty());
 }
 
-TEST (SidecarSettings, TheSourceIsWatchedAQuarterOfTheTighterBoundApart)
+TEST (SidecarSettings, TheWatchIntervalIsAQuarterOfTheTighterBound)
 {
     const auto intervalOf = [] (const char* changes, const char* drain)
     {
