--- a/src/sidecar/hop/active_request.cc
+++ b/src/sidecar/hop/active_request.cc
@@ -191,19 +191,19 @@
 HopCall ActiveRequest::makeCall (const mesh::Choice& choice) const
 {
     HopCall call;
-    auto& facts = call.facts;
-    facts.requestId = requestId;
-    facts.service = service;
-    facts.callerService = hop->settings.service;
-    facts.instanceId = choice.instance.id;
-    facts.route = route.name;
-    facts.timeLeft = std::chrono::floor<Milliseconds> (deadline - now());
-    facts.targetLeft = targetLeft();
-    facts.priority = priorityOf (route, tenant);
-    facts.mayRepeat = route.mayRepeat();
-    facts.isRepeat = arrivals > 0 || mayHaveRun || hedged;
-    facts.usualRunMs = hop->chooser.usualRunMs (route);
-    facts.tenant = tenant == nullptr ? std::string() : tenant->name;
+    auto& callFacts = call.facts;
+    callFacts.requestId = requestId;
+    callFacts.service = service;
+    callFacts.callerService = hop->settings.service;
+    callFacts.instanceId = choice.instance.id;
+    callFacts.route = route.name;
+    callFacts.timeLeft = std::chrono::floor<Milliseconds> (deadline - now());
+    callFacts.targetLeft = targetLeft();
+    callFacts.priority = priorityOf (route, tenant);
+    callFacts.mayRepeat = route.mayRepeat();
+    callFacts.isRepeat = arrivals > 0 || mayHaveRun || hedged;
+    callFacts.usualRunMs = hop->chooser.usualRunMs (route);
+    callFacts.tenant = tenant == nullptr ? std::string() : tenant->name;
     call.method = exchange->head.method;
     call.target = exchange->head.target;
     call.fields = fields;
--- a/src/sidecar/hop/instance_search.cc
+++ b/src/sidecar/hop/instance_search.cc
@@ -117,14 +117,14 @@
 
 std::size_t InstanceSearch::ask (mesh::Proximity proximity)
 {
-    auto remaining = wanted;
-    remaining.excluded.push_back (context.lastHop->instanceId());
+    auto request = wanted;
+    request.excluded.push_back (context.lastHop->instanceId());
 
     for (const auto& asked : poll.all())
-        remaining.excluded.push_back (asked.instance.id);
+        request.excluded.push_back (asked.instance.id);
 
     const auto instances =
-        context.chooser->sample (startedAt, *directory, remaining, sampleSize, proximity);
+        context.chooser->sample (startedAt, *directory, request, sampleSize, proximity);
 
     for (const auto& instance : instances)
     {
