--- a/src/sidecar/hop/instance_search.cc
+++ b/src/sidecar/hop/instance_search.cc
@@ -177,7 +177,7 @@
         return widen();
 
     if (step == mesh::PollStep::widenFar)
-        return widenToOtherRegions();
+        return widenFar();
 
     SearchResult found;
     found.step = step;
@@ -193,7 +193,7 @@
                   replyTimeout);
 }
 
-void InstanceSearch::widenToOtherRegions()
+void InstanceSearch::widenFar()
 {
     ++context.counts->widenedToOtherRegions;
     awaitReplies (ask (mesh::Proximity::otherRegion), otherRegionReplyTimeout);
--- a/src/sidecar/hop/instance_search.h
+++ b/src/sidecar/hop/instance_search.h
@@ -19,7 +19,7 @@
 /** The outcome of a search. */
 struct SearchResult
 {
-    mesh::PollStep step = mesh::PollStep::unheard; /**< One of take, refuse and unheard. */
+    mesh::PollStep step = mesh::PollStep::unheard; /**< The step that ended the search. */
     mesh::Choice choice;                           /**< Set for `take`. */
     mesh::HopCause cause = mesh::HopCause::none;   /**< Set for `refuse`. */
     std::size_t asked = 0, replies = 0;
@@ -63,7 +63,7 @@
     std::optional<mesh::Instance> findLocal() const;
     std::size_t ask (mesh::Proximity proximity);
     void widen();
-    void widenToOtherRegions();
+    void widenFar();
     void awaitReplies (std::size_t queried, Milliseconds timeout);
     void armTimer (Milliseconds timeout);
     void applyStep (mesh::PollStep step);
