--- a/src/sidecar/sidecar_stop.cc
+++ b/src/sidecar/sidecar_stop.cc
@@ -1,4 +1,4 @@
-/** A planned stop of a sidecar: what is in flight is finished, nothing new is begun. */
+/** The planned stop of a sidecar: active requests are finished and no new ones start. */
 #include <utility>
 
 #include "sidecar/sidecar.h"
