--- a/tests/platform_adapter/store_dialect_test.cc
+++ b/tests/platform_adapter/store_dialect_test.cc
@@ -36,18 +36,18 @@
     return text.replace (found, what.size(), by);
 }
 
-/** Reads a configuration that holds nothing doubtful. */
-Result<mesh::MeshConfiguration> readSure (const std::string& text)
+/** Reads a configuration and checks that it contains no unknown values. */
+Result<mesh::MeshConfiguration> readKnownValues (const std::string& text)
 {
-    std::vector<DoubtedValue> doubts;
-    auto read = readConfiguration (text, doubts);
-    EXPECT_TRUE (doubts.empty());
+    std::vector<UnknownValue> unknownValues;
+    auto read = readConfiguration (text, unknownValues);
+    EXPECT_TRUE (unknownValues.empty());
     return read;
 }
 
 TEST (ReadConfiguration, Whole)
 {
-    const auto read = Resolve ([] { return readSure (whole); });
+    const auto read = Resolve ([] { return readKnownValues (whole); });
     ASSERT_TRUE (read) << ToString (read.error());
     const auto& config = read.value();
     EXPECT_EQ (config.version, 7U);
@@ -62,7 +62,7 @@
     EXPECT_TRUE (Resolve ([&] { return mesh::checkConfiguration (config); }));
 }
 
-TEST (ReadConfiguration, DamageIsRefusedNamingThePlace)
+TEST (ReadConfiguration, DamageIsRefusedWithItsPlace)
 {
     struct Case
     {
@@ -87,29 +87,29 @@
 
     for (const auto& wanted : cases)
     {
-        const auto read = Resolve ([&] { return readSure (wanted.text); });
+        const auto read = Resolve ([&] { return readKnownValues (wanted.text); });
         ASSERT_FALSE (read) << wanted.text;
         EXPECT_EQ (read.error().place, wanted.place) << ToString (read.error());
         EXPECT_FALSE (read.error().cause.empty());
     }
 }
 
-TEST (ReadConfiguration, AnUnknownKindIsReadAsTheMostCarefulOne)
+TEST (ReadConfiguration, AnUnknownKindIsReadAsNonIdempotent)
 {
-    std::vector<DoubtedValue> doubts;
+    std::vector<UnknownValue> unknownValues;
     const auto text = replaced (R"("kind":"idempotent")", R"("kind":"sometimes")");
-    const auto read = Resolve ([&] { return readConfiguration (text, doubts); });
+    const auto read = Resolve ([&] { return readConfiguration (text, unknownValues); });
     ASSERT_TRUE (read) << ToString (read.error());
     EXPECT_EQ (read.value().routes[1].repeatability, mesh::Repeatability::nonIdempotent);
-    ASSERT_EQ (doubts.size(), 1U);
-    EXPECT_EQ (doubts[0].place, "routes.look.kind");
-    EXPECT_EQ (doubts[0].value, "sometimes");
+    ASSERT_EQ (unknownValues.size(), 1U);
+    EXPECT_EQ (unknownValues[0].place, "routes.look.kind");
+    EXPECT_EQ (unknownValues[0].value, "sometimes");
 }
 
 TEST (ReadConfiguration, DownloadsMayBeRepeated)
 {
     const auto text = replaced (R"("kind":"idempotent")", R"("kind":"download")");
-    const auto read = Resolve ([&] { return readSure (text); });
+    const auto read = Resolve ([&] { return readKnownValues (text); });
     ASSERT_TRUE (read) << ToString (read.error());
     EXPECT_EQ (read.value().routes[1].repeatability, mesh::Repeatability::download);
     EXPECT_TRUE (read.value().routes[1].mayRepeat());
@@ -123,13 +123,13 @@
     return replaced (R"("services":{)", R"("tenants":)" + text + R"(,"services":{)");
 }
 
-TEST (ReadConfiguration, TenantsAndWhereAndForWhomRoutesAre)
+TEST (ReadConfiguration, TenantsAndRouteRestrictions)
 {
     auto text = withTenants (tenants);
     const std::string kind = R"("kind":"idempotent")";
     text.replace (text.find (kind), kind.size(),
                   kind + R"(,"public":true,"allowed_regions":["south"])");
-    const auto read = Resolve ([&] { return readSure (text); });
+    const auto read = Resolve ([&] { return readKnownValues (text); });
     ASSERT_TRUE (read) << ToString (read.error());
     const auto& config = read.value();
     ASSERT_EQ (config.tenants.size(), 2U);
@@ -147,20 +147,20 @@
     EXPECT_EQ (config.routes[1].allowedRegions, std::vector<std::string>{ "south" });
 }
 
-TEST (ReadConfiguration, DamagedTenantsAreRefusedNamingThem)
+TEST (ReadConfiguration, DamagedTenantsAreRefusedWithTheirName)
 {
     for (const auto* damaged : { R"({"gold":{"api_keys":"k1"}})", R"({"gold":{"api_keys":[4]}})",
                                  R"({"gold":{"rate_per_s":-1}})", R"({"gold":{"burst":"many"}})",
                                  R"({"gold":{"priority":"high"}})", R"({"gold":7})" })
     {
         const auto text = withTenants (damaged);
-        const auto read = Resolve ([&] { return readSure (text); });
+        const auto read = Resolve ([&] { return readKnownValues (text); });
         ASSERT_FALSE (read) << damaged;
         EXPECT_EQ (read.error().place, "tenants.gold") << damaged;
     }
 
     const auto list = withTenants ("[]");
-    EXPECT_FALSE (Resolve ([&] { return readSure (list); }));
+    EXPECT_FALSE (Resolve ([&] { return readKnownValues (list); }));
 }
 
 TEST (StoreDialect, Targets)
@@ -239,7 +239,7 @@
     EXPECT_EQ (readAnswer (410, "", twice).reply, SourceReply::failed);
 }
 
-TEST (StoreDialect, AnItemThatCannotBeReadIsFaultyAlone)
+TEST (StoreDialect, AnInvalidItemDoesNotAffectOtherItems)
 {
     const std::string deep (60'000, '[');
     const std::string large (1 << 20, 'x');
@@ -284,17 +284,19 @@
     EXPECT_EQ (readAnswer (200, R"({"items":)" + deep).reply, SourceReply::failed);
 }
 
-/** Seeded; whatever comes, the good item behind it holds unless the answer itself is damaged. */
-TEST (StoreDialect, FuzzedItemsDoNoHarm)
+/** With seeded random damage to one item, the valid item after it must be read unless the answer
+    itself is damaged.
+*/
+TEST (StoreDialect, DamagedItemsDoNotAffectOtherItems)
 {
-    const std::string usual =
+    const std::string valid =
         R"({"private_key":"servers/a","value":"eyJzZXJ2aWNlIjoiZCJ9","revision":4,"created_at":4})";
     const std::string bytes = "\"{}[]:,0e-9.%a\\u\xff ";
     std::minstd_rand random (11);
 
     for (int round = 0; round < 20'000; ++round)
     {
-        auto item = usual;
+        auto item = valid;
 
         for (auto changes = 1 + random() % 4; changes > 0; --changes)
             item[random() % item.size()] = bytes[random() % bytes.size()];
@@ -315,9 +317,9 @@
     }
 }
 
-TEST (ReadInstance, OfAnotherWriterNamesNoInstance)
+TEST (ReadInstance, RejectsMissingMistypedAndUnknownValues)
 {
-    const std::map<std::string, std::string> usual = {
+    const std::map<std::string, std::string> valid = {
         { "service", R"("desk")" }, { "address", R"("10.0.0.9:80")" },
         { "zone", R"("z")" },       { "version", R"("v1")" },
         { "slots", "6" },           { "state", R"("ready")" },
@@ -336,34 +338,34 @@
                 return readInstance ({ "servers/i-1", text + "}", 5, 3, false, {} }, 2);
             });
     };
-    ASSERT_TRUE (read (usual));
-    EXPECT_EQ (read (usual).value().born, 1768005044252U);
+    ASSERT_TRUE (read (valid));
+    EXPECT_EQ (read (valid).value().born, 1768005044252U);
 
     for (const auto* const needed : { "service", "address", "zone", "slots", "state" })
     {
-        auto fields = usual;
+        auto fields = valid;
         fields.erase (needed);
         EXPECT_FALSE (read (fields)) << needed;
     }
 
-    for (const auto& [name, value] : usual)
+    for (const auto& [name, value] : valid)
     {
         const bool isText = value[0] == '"';
 
         for (const auto* const other : { "true", "[]", "{}", isText ? "7" : R"("7")" })
         {
-            auto fields = usual;
+            auto fields = valid;
             fields[name] = other;
             EXPECT_FALSE (read (fields)) << name << " " << other;
         }
 
-        // How long it stays cold is read with care instead: a number that can't be meant.
+        // An implausible cold time doesn't invalidate the entry.
         if (isText || name == "cold_remaining_ms")
             continue;
 
         for (const auto* const other : { "-1", "6.5", "1e300" })
         {
-            auto fields = usual;
+            auto fields = valid;
             fields[name] = other;
             EXPECT_FALSE (read (fields)) << name << " " << other;
         }
@@ -376,13 +378,13 @@
 
     for (const auto& [name, value] : unknown)
     {
-        auto fields = usual;
+        auto fields = valid;
         fields[name] = value;
         EXPECT_FALSE (read (fields)) << name << " " << value;
     }
 }
 
-TEST (ReadInstance, WholeAndDamaged)
+TEST (ReadInstance, ValidAndDamagedEntries)
 {
     const auto read = [] (const std::string& value) {
         return Resolve ([&] { return readInstance ({ "servers/i-1", value, 5, 3, false }, 2); });
@@ -401,22 +403,22 @@
         EXPECT_FALSE (read (value)) << value;
 }
 
-TEST (ReadConfiguration, HowTheInstancesOfAServiceBegin)
+TEST (ReadConfiguration, ColdStartOfAService)
 {
     const auto text = replaced (R"("protocol":"h1")", R"("cold_start_s":3.5,"cold_per_s":13.0)");
-    const auto read = Resolve ([&] { return readSure (text); });
+    const auto read = Resolve ([&] { return readKnownValues (text); });
     ASSERT_TRUE (read) << ToString (read.error());
     EXPECT_EQ (read.value().services.at ("desk").cold,
                (mesh::ColdProfile{ Milliseconds (3500), 13 }));
     EXPECT_EQ (read.value().services.at ("hub").cold, mesh::ColdProfile{}) << "never cold";
 
     const auto negative = replaced (R"("protocol":"h1")", R"("cold_start_s":-1)");
-    const auto refused = Resolve ([&] { return readSure (negative); });
+    const auto refused = Resolve ([&] { return readKnownValues (negative); });
     ASSERT_FALSE (refused);
     EXPECT_EQ (refused.error().place, "services.desk");
 }
 
-TEST (ReadInstance, HowLongItStaysCold)
+TEST (ReadInstance, RemainingColdTime)
 {
     struct Case
     {
