--- a/src/sidecar/source/relay.cc
+++ b/src/sidecar/source/relay.cc
@@ -14,13 +14,20 @@
 {
 
 constexpr Milliseconds pullTimeout{ 500 };
-constexpr Milliseconds catchUpTime{ 100 };      // A zone's beat takes 20 to 50 ms.
-constexpr Milliseconds unsoundInterval{ 1000 }; // In an outage every node of the zone may beat.
-// Between two beats: each change costs a reader one datagram and one answer for each peer.
-constexpr Milliseconds leastInterval{ 20 }, intervalPerPeer{ 2 };
-// Nodes that are started together come up within some 100 ms, and a datagram may be lost. By then
-// one of them reads and beats.
-constexpr Milliseconds offerInterval{ 100 }, offerTime{ 1000 };
+
+// Time for which a node may lag behind another one before it requests changes: heartbeats take 20
+// to 50 ms to reach a zone.
+constexpr Milliseconds catchUpTime{ 100 };
+
+// During an outage every node of the zone may send heartbeats, so they are sent less often.
+constexpr Milliseconds unhealthyInterval{ 1000 };
+
+// Minimum time between heartbeats: each change costs a reader one datagram and one answer per peer.
+constexpr Milliseconds minInterval{ 20 }, intervalPerPeer{ 2 };
+
+// Nodes that are started together are running within about 100 ms of each other, and a datagram may
+// be lost. By the end of this time one of them reads and sends heartbeats.
+constexpr Milliseconds offerInterval{ 100 }, offerDuration{ 1000 };
 
 ClientSettings pullClientSettings()
 {
@@ -74,70 +81,72 @@
         [weak = weak_from_this()] (const SocketAddress& from, std::string_view datagram)
         {
             if (const auto self = weak.lock())
-                self->hear (from, datagram);
+                self->onDatagram (from, datagram);
         });
     channel->Open();
     return Done{};
 }
 
-void Relay::hear (const SocketAddress& from, std::string_view datagram)
+void Relay::onDatagram (const SocketAddress& from, std::string_view datagram)
 {
-    if (const auto beat = mesh::decodeReaderBeat (datagram))
-        return hearBeat (from.ip, *beat);
+    if (const auto heartbeat = mesh::decodeReaderBeat (datagram))
+        return onHeartbeat (from.ip, *heartbeat);
 
     if (const auto subscription = mesh::decodeSubscription (datagram))
-        takeSubscription (from.ip, *subscription);
+        onSubscription (from.ip, *subscription);
 }
 
-void Relay::hearBeat (const std::string& ip, const mesh::ReaderBeat& beat)
+void Relay::onHeartbeat (const std::string& ip, const mesh::ReaderBeat& heartbeat)
 {
     const auto now = SteadyClock().Now();
     ++counts.beatsHeard;
-    const bool elsewhere = beat.zone != settings.zone;
+    const bool otherZone = heartbeat.zone != settings.zone;
 
-    if (! elsewhere && beat.reads)
+    if (! otherZone && heartbeat.reads)
     {
-        role.heard (now, beat);
-        // Stepping down at once keeps a zone that starts together from all its nodes' beats.
-        applyRole (now);
+        role.heard (now, heartbeat);
+        // The role is updated at once, so that the nodes of a zone that start together don't all
+        // send heartbeats.
+        updateRole (now);
     }
 
-    if (! elsewhere && beat.reads && beat.sound)
+    if (! otherZone && heartbeat.reads && heartbeat.sound)
         send (subscriptions.heardReader (now, ip, role.reading()));
 
-    // Also from one that can't read on: what it has is later than what this node has.
-    if (beat.at > ownAt || beat.version > ownVersion)
-        pull (ip);
+    // This includes readers that can't reach the source, since their data is later than this
+    // node's.
+    if (heartbeat.at > ownPosition || heartbeat.version > ownVersion)
+        pullChanges (ip);
 }
 
-void Relay::pull (const std::string& ip)
+void Relay::pullChanges (const std::string& ip)
 {
-    if (pulling)
+    if (pullInProgress)
         return;
 
-    const bool elsewhere = ! isZonePeer (ip);
-    pulling = true;
+    const bool otherZone = ! isZonePeer (ip);
+    pullInProgress = true;
     ++counts.pulls;
-    counts.pullsElsewhere += elsewhere ? 1 : 0;
-    const auto version = std::exchange (wantsWhole, false) ? 0 : ownVersion;
-    const auto target = std::string (changesPath) + std::to_string (ownAt.epoch) + "/" +
-                        std::to_string (ownAt.revision) + "/" + std::to_string (version);
+    counts.pullsElsewhere += otherZone ? 1 : 0;
+    const auto version = std::exchange (needsFullUpdate, false) ? 0 : ownVersion;
+    const auto target = std::string (changesPath) + std::to_string (ownPosition.epoch) + "/" +
+                        std::to_string (ownPosition.revision) + "/" + std::to_string (version);
     CallOptions options;
     options.deadline = SteadyClock().Now() + pullTimeout;
     const HeaderFields fields{ { "Host", ip } };
     client->send ({ ip, settings.peerPort }, requestMessage ("GET", target, fields, {}), options,
-                  [weak = weak_from_this(), elsewhere] (const CallResult& result)
+                  [weak = weak_from_this(), otherZone] (const CallResult& result)
                   {
                       if (const auto self = weak.lock())
-                          self->onPulled (result, elsewhere);
+                          self->onChangesReceived (result, otherZone);
                   });
 }
 
-void Relay::onPulled (const CallResult& result, bool elsewhere)
+void Relay::onChangesReceived (const CallResult& result, bool otherZone)
 {
-    pulling = false;
+    pullInProgress = false;
     mesh::MeshUpdate update;
-    const auto taken = Resolve (
+    const auto decoded = Resolve (
         [&]() -> Result<Done>
         {
             if (result.end != CallEnd::answered || result.head.status != 200)
@@ -147,32 +156,32 @@
             return Done{};
         });
 
-    if (! taken)
+    if (! decoded)
     {
         ++counts.failedPulls;
         return;
     }
 
     const auto now = SteadyClock().Now();
-    const bool wasLate = role.seenLaterFor (now) >= catchUpTime;
+    const bool wasBehind = role.seenLaterFor (now) >= catchUpTime;
     hooks.take (now, std::move (update));
 
-    if (wasLate && role.reading())
+    if (wasBehind && role.reading())
         hooks.overtaken();
 
-    // The source didn't tell it, so nobody else of the zone may have it.
-    if (elsewhere && role.reading() && ! hooks.sourceSound (now))
-        beat (false);
+    // The changes didn't come from the source, so other nodes of the zone may lack them.
+    if (otherZone && role.reading() && ! hooks.sourceSound (now))
+        sendHeartbeats (false);
 }
 
 void Relay::reached (Timestamp now, mesh::SourcePosition at, std::uint64_t version)
 {
-    ownAt = std::max (ownAt, at);
+    ownPosition = std::max (ownPosition, at);
     ownVersion = std::max (ownVersion, version);
-    role.reached (now, ownAt, ownVersion);
+    role.reached (now, ownPosition, ownVersion);
 
-    // Of what a peer told, nothing needs to be listed again.
-    if (ownAt.isKnown() && ! std::exchange (reachedOnce, true) && ! role.reading())
+    // What a peer has sent doesn't need to be listed again.
+    if (ownPosition.isKnown() && ! std::exchange (hadPosition, true) && ! role.reading())
         hooks.setReading (false);
 }
 
@@ -195,7 +204,7 @@
     role.sawVersion (now, version);
 
     if (role.seenLaterFor (now) >= catchUpTime)
-        pull (ip);
+        pullChanges (ip);
 }
 
 bool Relay::isZonePeer (const std::string& ip) const
@@ -206,18 +215,18 @@
 void Relay::announce()
 {
     const auto now = SteadyClock().Now();
-    const auto due = beatAt + shortestInterval();
+    const auto due = lastHeartbeatAt + minHeartbeatInterval();
 
-    if (! std::exchange (offered, true))
-        offer (now + offerTime);
+    if (! std::exchange (offerStarted, true))
+        repeatOffer (now + offerDuration);
 
-    if (announcing || ! role.reading() || ! hooks.sourceSound (now))
+    if (announcementPending || ! role.reading() || ! hooks.sourceSound (now))
         return;
 
     if (now >= due)
-        return beat (true);
+        return sendHeartbeats (true);
 
-    announcing = true;
+    announcementPending = true;
     reactor->RunAt (due,
                     [weak = weak_from_this()]
                     {
@@ -226,33 +235,33 @@
                         if (self == nullptr)
                             return;
 
-                        self->announcing = false;
+                        self->announcementPending = false;
                         self->announce();
                     });
 }
 
-Milliseconds Relay::shortestInterval() const
+Milliseconds Relay::minHeartbeatInterval() const
 {
-    return std::max (leastInterval, intervalPerPeer * std::int64_t (peers.inZone.size()));
+    return std::max (minInterval, intervalPerPeer * std::int64_t (peers.inZone.size()));
 }
 
-void Relay::beat (bool sound)
+void Relay::sendHeartbeats (bool healthy)
 {
-    if (resigned && sound)
+    if (resigned && healthy)
         return;
 
-    beatAt = SteadyClock().Now();
-    saidSound = sound;
-    tellZone (sound, true);
+    lastHeartbeatAt = SteadyClock().Now();
+    reportedHealthy = healthy;
+    sendToZone (healthy, true);
 
     if (peers.elsewhere.empty())
         return;
 
     std::uniform_int_distribution<std::size_t> any (0, peers.elsewhere.size() - 1);
-    sendBeat (peers.elsewhere[any (random)], beatBytes (sound, true));
+    sendHeartbeat (peers.elsewhere[any (random)], encodeHeartbeat (healthy, true));
 }
 
-void Relay::offer (Timestamp until)
+void Relay::repeatOffer (Timestamp until)
 {
     const auto now = SteadyClock().Now();
     const bool hasReader = role.reading() || role.satisfiedAt() != Timestamp{};
@@ -261,44 +270,44 @@
         return;
 
     if (ownVersion > 0)
-        tellZone (false, false);
+        sendToZone (false, false);
 
     reactor->RunAt (now + offerInterval,
                     [weak = weak_from_this(), until]
                     {
                         if (const auto self = weak.lock())
-                            self->offer (until);
+                            self->repeatOffer (until);
                     });
 }
 
-void Relay::tellZone (bool sound, bool reads)
+void Relay::sendToZone (bool healthy, bool reads)
 {
-    const auto bytes = beatBytes (sound, reads);
+    const auto bytes = encodeHeartbeat (healthy, reads);
 
     for (const auto& ip : peers.inZone)
-        sendBeat (ip, bytes);
+        sendHeartbeat (ip, bytes);
 
     if (! reads)
         return;
 
     for (const auto& ip : subscriptions.subscribers (SteadyClock().Now()))
         if (! isZonePeer (ip))
-            sendBeat (ip, bytes);
+            sendHeartbeat (ip, bytes);
 }
 
-std::string Relay::beatBytes (bool sound, bool reads) const
+std::string Relay::encodeHeartbeat (bool healthy, bool reads) const
 {
-    return mesh::encode (mesh::ReaderBeat{ settings.node, settings.zone, rankOf (settings), ownAt,
-                                           ownVersion, sound, reads });
+    return mesh::encode (mesh::ReaderBeat{ settings.node, settings.zone, rankOf (settings),
+                                           ownPosition, ownVersion, healthy, reads });
 }
 
-void Relay::sendBeat (const std::string& ip, const std::string& bytes)
+void Relay::sendHeartbeat (const std::string& ip, const std::string& bytes)
 {
     ++counts.beatsSent;
     channel->Send ({ ip, settings.address.port }, bytes);
 }
 
-void Relay::applyRole (Timestamp now)
+void Relay::updateRole (Timestamp now)
 {
     const bool reading = role.decide (now, hooks.sourceSound (now));
     hooks.setTryInterval (role.tryInterval (now));
@@ -312,8 +321,8 @@
         ++counts.roleChanges;
         log->write (now, EventKind::roleChanged,
                     { { "reading", reading ? "yes" : "no" },
-                      { "epoch", static_cast<std::int64_t> (ownAt.epoch) },
-                      { "revision", static_cast<std::int64_t> (ownAt.revision) },
+                      { "epoch", static_cast<std::int64_t> (ownPosition.epoch) },
+                      { "revision", static_cast<std::int64_t> (ownPosition.revision) },
                       { "version", static_cast<std::int64_t> (ownVersion) } });
         hooks.setReading (reading);
     }
@@ -321,26 +330,26 @@
 
 void Relay::tick (Timestamp now)
 {
-    applyRole (now);
+    updateRole (now);
     subscribe (now);
 
     if (! role.reading())
         return;
 
-    const bool sound = hooks.sourceSound (now);
-    // That it can't read on is news once; later it only helps nodes that have just started.
-    const auto interval = sound       ? mesh::ReaderRoleSettings{}.beatInterval
-                          : saidSound ? Milliseconds (0)
-                                      : std::max (unsoundInterval, role.tryInterval (now));
+    const bool healthy = hooks.sourceSound (now);
+    // A loss of the source is reported at once; repetitions only help nodes that have just started.
+    const auto interval = healthy           ? mesh::ReaderRoleSettings{}.beatInterval
+                          : reportedHealthy ? Milliseconds (0)
+                                            : std::max (unhealthyInterval, role.tryInterval (now));
 
-    if (now - beatAt >= interval)
-        beat (sound);
+    if (now - lastHeartbeatAt >= interval)
+        sendHeartbeats (healthy);
 }
 
 void Relay::resign()
 {
     if (role.reading())
-        beat (false);
+        sendHeartbeats (false);
 
     resigned = true;
 }
--- a/src/sidecar/source/relay.h
+++ b/src/sidecar/source/relay.h
@@ -1,9 +1,9 @@
-/** Passes what the source told between the nodes: beats of the readers by datagram to their own
-   zone and each time to one node elsewhere, changes on request over HTTP. Runs a ReaderRole. Of the
-    reactor's thread.
+/** Distributes the source's data among the nodes. A reader sends heartbeats by datagram to its own
+    zone and each time to one node of another zone; changes are sent on request over HTTP. Runs a
+    ReaderRole. Runs on the reactor's thread.
 
-    A beat from elsewhere says nothing of who reads for this zone; it only tells that something
-    later is to be had, also while the source turns a whole zone away.
+    A heartbeat from another zone doesn't count towards the choice of this zone's reader. It only
+    shows that later changes are available, also while the source refuses all nodes of a zone.
 */
 #pragma once
 
@@ -24,7 +24,7 @@
 {
 
 /** Path prefix of the requests for changes between nodes; followed by the epoch and the revision
-   that the asking node has reached, and the version that it runs.
+    that the requesting node has reached, and the version that it runs.
 */
 inline constexpr std::string_view changesPath = "/copperlead/changes/";
 
@@ -32,27 +32,33 @@
 {
     std::string node;
     std::string zone;
-    SocketAddress address;      /**< For beats; all nodes use the same port. */
-    std::uint16_t peerPort = 0; /**< On which nodes take requests for changes. */
-    int strength = 0;           /**< Of this machine, for the readers' rank. */
+    SocketAddress address; /**< Address for heartbeats; all nodes use the same port. */
+    /** Port on which nodes accept requests for changes. */
+    std::uint16_t peerPort = 0;
+    int strength = 0; /**< Strength of this machine, for the rank of readers. */
 };
 
-/** What the relay needs of its node. */
+/** Functions of the node that the relay calls. */
 struct RelayHooks
 {
     std::function<void (Timestamp, mesh::MeshUpdate)> take;
     std::function<void (bool reading)> setReading;
-    std::function<void()> look;      /**< List the source once more, for peers. */
-    std::function<void()> overtaken; /**< This node reads, and another told more than the source. */
+    /** Lists the source once more, to find peers. */
+    std::function<void()> look;
+
+    /** Called if this node reads and a peer has reported a later state than the source. */
+    std::function<void()> overtaken;
     std::function<bool (Timestamp)> sourceSound;
-    std::function<void (Milliseconds)> setTryInterval; /**< Of calls to a failing source. */
+    /** Sets the interval of calls to a failing source. */
+    std::function<void (Milliseconds)> setTryInterval;
 };
 
-/** Counted since the start. */
+/** Counters since the process started. */
 struct RelayCounters
 {
     std::uint64_t beatsSent = 0, beatsHeard = 0, pulls = 0, failedPulls = 0, roleChanges = 0;
-    std::uint64_t pullsElsewhere = 0; /**< Of the pulls: from a node of another zone. */
+    /** Pulls from a node of another zone. */
+    std::uint64_t pullsElsewhere = 0;
     std::uint64_t subscriptionsSent = 0, subscriptionsTaken = 0;
 };
 
@@ -66,56 +72,57 @@
     /** @returns kBadAddress or kAddressInUse naming the address */
     Result<Done> start();
 
-    /** @param isListed  this node is, so that the readers know it */
+    /** @param isListed  whether this node is listed, so that the readers know it */
     void setPeers (Timestamp now, mesh::PeerAddresses peersToUse, bool isListed);
 
-    /** This node has reached this position of the source and runs this version. */
+    /** Reports the source position that this node has reached and the version that it runs. */
     void reached (Timestamp now, mesh::SourcePosition at, std::uint64_t version);
 
-    /** Another node's answer showed that it runs a later version: its changes are asked of it,
-       which takes a few kilobytes where the source would send the whole configuration.
+    /** Reports that another node's answer showed a later version. The changes are requested from
+        that node, which takes a few kilobytes, whereas the source would send the whole
+        configuration.
     */
     void sawVersion (std::uint64_t version, const std::string& ip);
 
-    /** The source told of changes: the zone hears of it at once, from its reader; from a strong
-        node that has just started, too, since others that start with it wait for that.
+    /** Reports that the source has sent changes. A reader announces them to its zone at once. So
+        does a strong node that has just started, since others that start with it wait for that.
     */
     void announce();
 
-    /** To be called some times a second. */
+    /** Has to be called several times a second. */
     void tick (Timestamp now);
 
-    /** A planned stop: another node is to read from now on. */
+    /** Ends this node's reading for a planned stop, so that another node takes over. */
     void resign();
 
-    /** The node can't use differences; asks for everything next. */
-    void wantWhole() { wantsWhole = true; }
+    /** Requests the whole configuration next, since the node can't apply differences. */
+    void wantWhole() { needsFullUpdate = true; }
 
     bool reading() const { return role.reading(); }
     Timestamp upToDateAt() const { return role.satisfiedAt(); }
     const RelayCounters& counters() const { return counts; }
 
 private:
-    void hear (const SocketAddress& from, std::string_view datagram);
-    void pull (const std::string& ip);
-    void onPulled (const CallResult& result, bool elsewhere);
+    void onDatagram (const SocketAddress& from, std::string_view datagram);
+    void pullChanges (const std::string& ip);
+    void onChangesReceived (const CallResult& result, bool otherZone);
     bool isZonePeer (const std::string& ip) const;
-    void hearBeat (const std::string& ip, const mesh::ReaderBeat& beat);
+    void onHeartbeat (const std::string& ip, const mesh::ReaderBeat& heartbeat);
     void subscribe (Timestamp now);
-    void takeSubscription (const std::string& from, const mesh::Subscription& subscription);
-    void send (const mesh::SubscriptionSendings& sendings);
-    void beat (bool sound);
+    void onSubscription (const std::string& from, const mesh::Subscription& subscription);
+    void send (const mesh::SubscriptionSendings& subscriptionsToSend);
+    void sendHeartbeats (bool healthy);
 
-    /** Tells the zone what this node listed at its start, again and again: a node that starts a
-        moment later, or whose datagram is lost, would list the store itself, which takes it long
-        over a narrow link.
+    /** Repeatedly reports to the zone what this node listed at its start. Otherwise a node that
+        starts slightly later, or whose datagram is lost, would list the store itself, which takes
+        long over a slow link.
     */
-    void offer (Timestamp until);
-    void tellZone (bool sound, bool reads);
-    std::string beatBytes (bool sound, bool reads) const;
-    void sendBeat (const std::string& ip, const std::string& bytes);
-    void applyRole (Timestamp now);
-    Milliseconds shortestInterval() const;
+    void repeatOffer (Timestamp until);
+    void sendToZone (bool healthy, bool reads);
+    std::string encodeHeartbeat (bool healthy, bool reads) const;
+    void sendHeartbeat (const std::string& ip, const std::string& bytes);
+    void updateRole (Timestamp now);
+    Milliseconds minHeartbeatInterval() const;
 
     std::shared_ptr<Reactor> reactor;
     RelaySettings settings;
@@ -129,15 +136,20 @@
     RelayCounters counts;
     mesh::PeerAddresses peers;
     mesh::Subscriptions subscriptions;
-    bool listed = false; /**< The instance beside this node is. */
-    mesh::SourcePosition ownAt;
+    /** Whether the instance beside this node is listed. */
+    bool listed = false;
+    mesh::SourcePosition ownPosition;
     std::uint64_t ownVersion = 0;
-    Timestamp beatAt{};
-    bool saidSound = false;  /**< In the last beat. */
-    bool announcing = false; /**< A beat is due as soon as the shortest interval allows. */
-    bool pulling = false, wantsWhole = false, resigned = false, wasReading = false;
-    bool offered = false;     /**< Whether offer() was begun. */
-    bool reachedOnce = false; /**< Something is known, by whatever way. */
+    Timestamp lastHeartbeatAt{};
+    /** The health that the last heartbeat reported. */
+    bool reportedHealthy = false;
+    /** Whether a heartbeat is due as soon as the minimum interval allows. */
+    bool announcementPending = false;
+    bool pullInProgress = false, needsFullUpdate = false, resigned = false, wasReading = false;
+    /** Whether repeatOffer() has been called. */
+    bool offerStarted = false;
+    /** Whether a position has been reached, from the source or a peer. */
+    bool hadPosition = false;
 };
 
 } // namespace copperlead::sidecar
--- a/src/sidecar/source/relay_subscriptions.cc
+++ b/src/sidecar/source/relay_subscriptions.cc
@@ -1,4 +1,6 @@
-/** How the relay subscribes to its zone's reader, and takes others' subscriptions. */
+/** The part of the relay that subscribes to the zone's reader and accepts the subscriptions of
+    other nodes.
+*/
 #include "mesh/reader_beat_codec.h"
 #include "sidecar/source/relay.h"
 
@@ -10,44 +12,46 @@
     if (listed || resigned)
         return;
 
-    const auto sendings = subscriptions.due (now, peers.inZone);
+    const auto subscriptionsToSend = subscriptions.due (now, peers.inZone);
 
-    if (sendings.empty())
+    if (subscriptionsToSend.empty())
         return;
 
-    send (sendings);
+    send (subscriptionsToSend);
     role.subscribed (now);
     log->write (now, EventKind::subscribed,
-                { { "to", sendings.front().to },
-                  { "asked", static_cast<std::int64_t> (sendings.size()) },
+                { { "to", subscriptionsToSend.front().to },
+                  { "asked", static_cast<std::int64_t> (subscriptionsToSend.size()) },
                   { "peers", static_cast<std::int64_t> (peers.inZone.size()) },
-                  { "epoch", static_cast<std::int64_t> (ownAt.epoch) },
-                  { "revision", static_cast<std::int64_t> (ownAt.revision) } });
+                  { "epoch", static_cast<std::int64_t> (ownPosition.epoch) },
+                  { "revision", static_cast<std::int64_t> (ownPosition.revision) } });
 }
 
-void Relay::takeSubscription (const std::string& from, const mesh::Subscription& subscription)
+void Relay::onSubscription (const std::string& from, const mesh::Subscription& subscription)
 {
-    // Only a listed node passes on others' subscriptions: a stranger's word would send beats to
-    // anybody.
-    const bool passedOn = ! subscription.ip.empty();
+    // Only listed nodes may forward the subscriptions of others. Otherwise an unknown sender could
+    // direct heartbeats to any address.
+    const bool isForwarded = ! subscription.ip.empty();
 
-    if (subscription.zone != settings.zone || (passedOn && ! isZonePeer (from)))
+    if (subscription.zone != settings.zone || (isForwarded && ! isZonePeer (from)))
         return;
 
     const auto now = SteadyClock().Now();
-    const auto& subscriber = passedOn ? subscription.ip : from;
+    const auto& subscriber = isForwarded ? subscription.ip : from;
     ++counts.subscriptionsTaken;
     send (subscriptions.take (now, subscriber, role.reading()));
 
     if (role.reading() && hooks.sourceSound (now))
-        sendBeat (subscriber, beatBytes (true, true));
+        sendHeartbeat (subscriber, encodeHeartbeat (true, true));
     else if (! subscriptions.knowsReader (now))
-        role.listed (now); // Its sender has seen so: nobody reads yet, and this node soon may.
+        // The sender considers this node listed. No reader is known yet, and this node may read
+        // soon.
+        role.listed (now);
 }
 
-void Relay::send (const mesh::SubscriptionSendings& sendings)
+void Relay::send (const mesh::SubscriptionSendings& subscriptionsToSend)
 {
-    for (const auto& sending : sendings)
+    for (const auto& sending : subscriptionsToSend)
     {
         ++counts.subscriptionsSent;
         channel->Send ({ sending.to, settings.address.port },
--- a/src/sidecar/source/source_reader.h
+++ b/src/sidecar/source/source_reader.h
@@ -1,5 +1,5 @@
-/** Drives a SourceFollower against a source over HTTP, by a dialect that knows the source's words.
-    Of the reactor's thread.
+/** Runs a SourceFollower against a source over HTTP. A dialect encodes the calls and decodes the
+    answers. Runs on the reactor's thread.
 */
 #pragma once
 
@@ -17,7 +17,7 @@
 namespace copperlead::sidecar
 {
 
-/** The words of one kind of source. */
+/** Encodes the calls to one kind of source and decodes its answers. */
 template <typename T>
 concept SourceDialect = requires (const T& dialect, const mesh::SourceRequest& request,
                                   const ResponseHead& head, const std::string& body)
@@ -34,26 +34,28 @@
 class SourceReader : public std::enable_shared_from_this<SourceReader<Dialect>>
 {
 public:
-    using Taker = std::function<void (Timestamp, const mesh::SourceUpdate&, bool sound)>;
+    using UpdateHandler =
+        std::function<void (Timestamp, const mesh::SourceUpdate&, bool canTrustAbsence)>;
 
     SourceReader (std::shared_ptr<Reactor> reactorToUse, SocketAddress sourceAddress,
                   Dialect dialectToUse, const mesh::FollowerSettings& followerSettings,
-                  std::uint64_t seed, std::shared_ptr<DecisionLog> logToUse, Taker takerToUse)
+                  std::uint64_t seed, std::shared_ptr<DecisionLog> logToUse,
+                  UpdateHandler handlerToUse)
         : reactor (std::move (reactorToUse))
         , address (std::move (sourceAddress))
         , dialect (std::move (dialectToUse))
         , follower (followerSettings, seed)
         , log (std::move (logToUse))
-        , taker (std::move (takerToUse))
+        , handleUpdate (std::move (handlerToUse))
         , client (std::make_shared<HttpClient> (reactor, clientSettings()))
     {
     }
 
     ~SourceReader() { client->dropAllIdle(); }
 
-    void start() { next(); }
+    void start() { sendOrSchedule(); }
 
-    /** Starts or stops reading. @param position  reached by other means, if any was */
+    /** Starts or stops reading. @param position  position reached by other means, if any */
     void setActive (bool active, mesh::SourcePosition position)
     {
         const bool drop =
@@ -61,42 +63,42 @@
 
         if (drop)
         {
-            ++sent; // What comes of the call that is out no longer counts.
+            ++callsSent; // The result of the call in progress is ignored from now on.
 
             if (call != nullptr)
                 call->cancel();
         }
 
-        next();
+        sendOrSchedule();
     }
 
-    /** The least time between calls while the source fails, since other nodes try it too. */
+    /** Sets the minimum time between calls to a failing source, since other nodes call it too. */
     void setTryInterval (Milliseconds interval) { follower.setTryInterval (interval); }
 
-    /** Another node runs a later version than this one. */
+    /** Reports that another node runs a later version than this one. */
     void hurry()
     {
         if (follower.hurry (SteadyClock().Now()))
-            askAnew();
+            cancelAndRequest();
     }
 
-    /** A position was reached by other means. */
+    /** Reports that a position was reached by other means. */
     void overtaken (mesh::SourcePosition position)
     {
         if (follower.overtaken (SteadyClock().Now(), position))
-            askAnew();
+            cancelAndRequest();
     }
 
-    /** Lists once more, for nodes that have been listed since. */
+    /** Lists the source once more, to find nodes that have been listed since. */
     void lookAgain()
     {
         follower.lookAgain (SteadyClock().Now());
-        next();
+        sendOrSchedule();
     }
 
     const mesh::SourceFollower& state() const { return follower; }
 
-    /** Calls since the start, by cause. */
+    /** Returns the number of calls since the process started, by cause. */
     const mesh::SourceCallCounts& calls() const { return counts; }
 
 private:
@@ -108,13 +110,13 @@
         return settings;
     }
 
-    void askAnew()
+    void cancelAndRequest()
     {
         call->cancel();
-        next();
+        sendOrSchedule();
     }
 
-    void next()
+    void sendOrSchedule()
     {
         const auto now = SteadyClock().Now();
 
@@ -133,7 +135,7 @@
                             if (const auto self = weak.lock())
                             {
                                 self->armedFor = {};
-                                self->next();
+                                self->sendOrSchedule();
                             }
                         });
     }
@@ -143,16 +145,17 @@
         CallOptions options;
         options.deadline = now + request.timeout;
         const HeaderFields fields{ { "Host", ToString (address) } };
-        const auto number = ++sent;
+        const auto number = ++callsSent;
         ++counts[static_cast<std::size_t> (request.cause)];
-        // The callback may come before send() returns; a call that has ended is safe to cancel.
+        // The callback may be called before send() returns; a call that has ended is safe to
+        // cancel.
         call = client->send (address, requestMessage ("GET", dialect.target (request), fields, {}),
                              options,
                              [weak = this->weak_from_this(), number] (CallResult result)
                              {
                                  const auto self = weak.lock();
 
-                                 if (self != nullptr && number == self->sent)
+                                 if (self != nullptr && number == self->callsSent)
                                      self->onResult (std::move (result));
                              });
     }
@@ -167,25 +170,25 @@
 
         const auto reply = answer.reply;
         const bool wasFailing = follower.failing();
-        const auto lastWord = follower.lastSuccess();
+        const auto lastSuccess = follower.lastSuccess();
         const auto update = follower.answered (now, std::move (answer));
-        logChange (now, wasFailing, lastWord, result, reply);
+        logChange (now, wasFailing, lastSuccess, result, reply);
 
         if (update)
-            taker (now, *update, follower.sound (now));
+            handleUpdate (now, *update, follower.sound (now));
 
         reactor->RunAt (now,
                         [weak = this->weak_from_this()]
                         {
                             if (const auto self = weak.lock())
-                                self->next();
+                                self->sendOrSchedule();
                         });
     }
 
-    void logChange (Timestamp now, bool wasFailing, Timestamp lastWord, const CallResult& result,
+    void logChange (Timestamp now, bool wasFailing, Timestamp lastSuccess, const CallResult& result,
                     mesh::SourceReply reply)
     {
-        const auto since = std::chrono::duration_cast<Milliseconds> (now - lastWord).count();
+        const auto since = std::chrono::duration_cast<Milliseconds> (now - lastSuccess).count();
         const auto epoch = static_cast<std::int64_t> (follower.position().epoch);
         const auto revision = static_cast<std::int64_t> (follower.position().revision);
 
@@ -212,11 +215,11 @@
     Dialect dialect;
     mesh::SourceFollower follower;
     std::shared_ptr<DecisionLog> log;
-    Taker taker;
+    UpdateHandler handleUpdate;
     std::shared_ptr<HttpClient> client;
     CallPointer call;
     mesh::SourceCallCounts counts{};
-    std::uint64_t sent = 0;
+    std::uint64_t callsSent = 0;
     Timestamp armedFor{};
 };
 
