--- a/src/sidecar/instance/body_admission.cc
+++ b/src/sidecar/instance/body_admission.cc
@@ -11,13 +11,14 @@
 namespace
 {
 
-constexpr double mostQueueMs = 80; // Of bodies on the link, in front of small messages.
-constexpr int mostInTransfer = 64;
-constexpr double learningRate = 0.1;
-// A sender that falls silent would keep its place until its request's deadline, and there are one
-// or two places on a slow link.
+// Transfer time of the bodies that are on the link together. It bounds the delay of small messages.
+constexpr double maxQueueMs = 80;
+constexpr int maxTransfers = 64;
+constexpr double averagingWeight = 0.1;
+// Without this timeout, a sender that stops sending would hold its slot until the deadline of its
+// request, and a slow link has only one or two slots.
 constexpr double overdueAfterTransfers = 4;
-constexpr double leastPatienceMs = 250;
+constexpr double minOverdueTimeoutMs = 250;
 
 Timestamp now() { return SteadyClock().Now(); }
 
@@ -27,23 +28,24 @@
     : reactor (std::move (reactorToUse))
     , expiry (reactor)
     , bytesPerMs (linkMbps * mesh::bytesPerMsOfMbps)
-    , usualBytes (static_cast<double> (mesh::largeBodyBytes))
+    , averageBytes (static_cast<double> (mesh::largeBodyBytes))
 {
-    learnSize (mesh::largeBodyBytes);
+    updateAverageSize (mesh::largeBodyBytes);
 }
 
 double BodyAdmission::transferMs (double bytes) const { return bytes / bytesPerMs; }
 
-void BodyAdmission::learnSize (std::size_t bytes)
+void BodyAdmission::updateAverageSize (std::size_t bytes)
 {
-    usualBytes += learningRate * (static_cast<double> (bytes) - usualBytes);
-    setPlaces();
+    averageBytes += averagingWeight * (static_cast<double> (bytes) - averageBytes);
+    updateLimit();
 }
 
-void BodyAdmission::setPlaces()
+void BodyAdmission::updateLimit()
 {
-    const auto fitting = std::lround (mostQueueMs / transferMs (usualBytes));
-    queue.setLimit (std::clamp (static_cast<int> (fitting), 1, mostInTransfer) + overdueNow);
+    const auto bodiesWithinQueue = std::lround (maxQueueMs / transferMs (averageBytes));
+    queue.setLimit (std::clamp (static_cast<int> (bodiesWithinQueue), 1, maxTransfers) +
+                    overdueBodies);
 }
 
 BodyAdmission::Id BodyAdmission::ask (const mesh::HopRequest& facts, std::size_t bytes,
@@ -52,13 +54,13 @@
     const auto at = now();
     const auto id = ++lastId;
     const auto run = mesh::fromMilliseconds (facts.usualRunMs);
-    asked.emplace (id, Asked{ std::move (decision),
-                              at + facts.timeLeft,
-                              {},
-                              transferMs (static_cast<double> (bytes)) });
-    learnSize (bytes);
+    pending.emplace (id, PendingBody{ std::move (decision),
+                                      at + facts.timeLeft,
+                                      {},
+                                      transferMs (static_cast<double> (bytes)) });
+    updateAverageSize (bytes);
 
-    // By then it must be here for its run to end in time.
+    // The body must have arrived by these times for its run to end in time.
     mesh::AdmissionRequest request;
     request.id = id;
     request.route = facts.route;
@@ -69,78 +71,79 @@
     const auto decided = queue.offer (at, request);
 
     if (decided == mesh::AdmissionDecision::run)
-        begin (id);
+        grant (id);
     else if (decided == mesh::AdmissionDecision::refuse)
-        decline (id);
+        refuse (id);
     else
         armExpiry();
 
     return id;
 }
 
-void BodyAdmission::begin (Id id)
+void BodyAdmission::grant (Id id)
 {
-    auto& begun = asked.at (id);
-    begun.calledAt = now();
+    auto& body = pending.at (id);
+    body.grantedAt = now();
     ++counts.called;
-    reactor->RunAt (begun.deadline,
+    reactor->RunAt (body.deadline,
                     [weak = weak_from_this(), id]
                     {
                         if (const auto self = weak.lock())
                             self->left (id);
                     });
-    reactor->RunAt (begun.calledAt + patience (begun),
+    reactor->RunAt (body.grantedAt + overdueTimeout (body),
                     [weak = weak_from_this(), id]
                     {
                         if (const auto self = weak.lock())
-                            self->giveUpWaiting (id);
+                            self->markOverdue (id);
                     });
-    std::exchange (begun.decision, nullptr) (true);
+    std::exchange (body.decision, nullptr) (true);
 }
 
-Duration BodyAdmission::patience (const Asked& begun) const
+Duration BodyAdmission::overdueTimeout (const PendingBody& body) const
 {
-    const auto usualMs = std::max (begun.usualMs, queue.usualRunMs());
-    return mesh::fromMilliseconds (overdueAfterTransfers * usualMs + leastPatienceMs);
+    const auto expectedTransferMs = std::max (body.expectedTransferMs, queue.usualRunMs());
+    return mesh::fromMilliseconds (overdueAfterTransfers * expectedTransferMs +
+                                   minOverdueTimeoutMs);
 }
 
-void BodyAdmission::giveUpWaiting (Id id)
+void BodyAdmission::markOverdue (Id id)
 {
-    const auto found = asked.find (id);
+    const auto found = pending.find (id);
 
-    if (found == asked.end())
+    if (found == pending.end())
         return;
 
-    // It may still come, and is taken then; how late it was is learned.
+    // The body may still arrive and is accepted then; its transfer time counts for the average.
     found->second.isOverdue = true;
     ++counts.overdue;
-    ++overdueNow;
-    setPlaces();
+    ++overdueBodies;
+    updateLimit();
     pump();
 }
 
-void BodyAdmission::decline (Id id)
+void BodyAdmission::refuse (Id id)
 {
-    const auto found = asked.find (id);
+    const auto found = pending.find (id);
 
-    if (found == asked.end())
+    if (found == pending.end())
         return;
 
     ++counts.refused;
     const auto decision = std::move (found->second.decision);
-    asked.erase (found);
+    pending.erase (found);
     decision (false);
 }
 
 void BodyAdmission::arrived (Id id, std::size_t bytes)
 {
-    const auto found = asked.find (id);
+    const auto found = pending.find (id);
 
-    if (found == asked.end())
+    if (found == pending.end())
         return;
 
-    const auto took = mesh::toMilliseconds (now() - found->second.calledAt);
-    forget (id);
+    const auto took = mesh::toMilliseconds (now() - found->second.grantedAt);
+    remove (id);
     ++counts.arrived;
     counts.bytes += bytes;
     counts.transfer.observe (took);
@@ -150,32 +153,32 @@
 
 void BodyAdmission::left (Id id)
 {
-    if (! asked.contains (id))
+    if (! pending.contains (id))
         return;
 
-    forget (id);
+    remove (id);
     queue.cancel (id);
     pump();
 }
 
-void BodyAdmission::forget (Id id)
+void BodyAdmission::remove (Id id)
 {
-    const auto known = asked.extract (id);
+    const auto known = pending.extract (id);
 
     if (! known.mapped().isOverdue)
         return;
 
-    --overdueNow;
-    setPlaces();
+    --overdueBodies;
+    updateLimit();
 }
 
 void BodyAdmission::pump()
 {
     for (const auto id : queue.expire (now()))
-        decline (id);
+        refuse (id);
 
     while (const auto id = queue.next (now()))
-        begin (id);
+        grant (id);
 
     armExpiry();
 }
@@ -193,7 +196,7 @@
 double BodyAdmission::expectedMs() const
 {
     const auto before = static_cast<double> (queue.waiting() + queue.running());
-    return (before + 1) * transferMs (usualBytes);
+    return (before + 1) * transferMs (averageBytes);
 }
 
 } // namespace copperlead::sidecar
--- a/src/sidecar/instance/body_admission.h
+++ b/src/sidecar/instance/body_admission.h
@@ -1,9 +1,9 @@
-/** Which large bodies other nodes may send to this one, and when: by their requests' heads, as many
-    at a time as its link carries without a long queue in front of small messages. Of the reactor's
-    thread.
+/** Decides which large request bodies other nodes may send to this one, and when. A body is
+    admitted by the head of its request. The number of concurrent transfers is limited so that small
+    messages don't wait behind a long queue on the link. Runs on the reactor's thread.
 
-    The order, the bounds and the refusals are those of mesh::AdmissionQueue, whose slots stand for
-    bodies on the link and whose runs for their transfers; how long these take is learned.
+    Order, limits and refusals are those of mesh::AdmissionQueue: a slot of the queue is a body on
+    the link, and a run is its transfer. The queue learns how long transfers take.
 */
 #pragma once
 
@@ -21,15 +21,15 @@
 namespace copperlead::sidecar
 {
 
-/** Counted since the start. */
+/** Counters since the process started. */
 struct BodyCounters
 {
-    std::uint64_t called = 0;        /**< Bodies that their senders were told to send. */
-    std::uint64_t refused = 0;       /**< Bodies that couldn't arrive in time. */
-    std::uint64_t arrived = 0;       /**< Bodies that arrived whole. */
-    std::uint64_t overdue = 0;       /**< Bodies whose places went to others before they came. */
-    std::uint64_t bytes = 0;         /**< Of those that arrived. */
-    mesh::LatencyHistogram transfer; /**< From the call for a body until it was there. */
+    std::uint64_t called = 0;        /**< Bodies whose senders were allowed to send them. */
+    std::uint64_t refused = 0;       /**< Bodies that could not have arrived in time. */
+    std::uint64_t arrived = 0;       /**< Bodies that arrived completely. */
+    std::uint64_t overdue = 0;       /**< Bodies whose slots were released before they arrived. */
+    std::uint64_t bytes = 0;         /**< Bytes of the bodies that arrived. */
+    mesh::LatencyHistogram transfer; /**< Time from the grant to the arrival. */
 };
 
 class BodyAdmission : public std::enable_shared_from_this<BodyAdmission>
@@ -37,25 +37,25 @@
 public:
     using Id = std::uint64_t;
 
-    /** @param granted  whether the body may come; false: it can't arrive in time */
+    /** @param granted  whether the body may be sent; false if it can't arrive in time */
     using Decision = std::function<void (bool granted)>;
 
-    /** @param linkMbps  of this machine, as its settings say */
+    /** @param linkMbps  configured bandwidth of this machine's link */
     BodyAdmission (std::shared_ptr<Reactor> reactorToUse, double linkMbps);
 
-    /** Asks for a body to be admitted. The decision comes once, maybe before this returns, and not
-        after left().
-        @param bytes  of the body
+    /** Requests admission of a body. The decision is reported once, possibly before this function
+        returns, and never after left().
+        @param bytes  size of the body
     */
     Id ask (const mesh::HopRequest& facts, std::size_t bytes, Decision decision);
 
-    /** An admitted body is there. @param bytes  that came */
+    /** Reports that an admitted body has arrived. @param bytes  bytes received */
     void arrived (Id id, std::size_t bytes);
 
-    /** A body that was asked for won't come, or came to nothing. */
+    /** Reports that a body won't arrive, or that its transfer failed. */
     void left (Id id);
 
-    /** Until another body of the usual size would be there, in milliseconds. */
+    /** Returns the time until one more body of average size would have arrived, in milliseconds. */
     double expectedMs() const;
 
     std::size_t waiting() const { return queue.waiting(); }
@@ -63,32 +63,35 @@
     const BodyCounters& counters() const { return counts; }
 
 private:
-    struct Asked
+    struct PendingBody
     {
         Decision decision;
-        Timestamp deadline{}, calledAt{};
-        double usualMs = 0; /**< Of its transfer, by its size. */
+        Timestamp deadline{}, grantedAt{};
+        /** Transfer time expected for its size. */
+        double expectedTransferMs = 0;
         bool isOverdue = false;
     };
 
-    void begin (Id id);
-    void decline (Id id);
+    void grant (Id id);
+    void refuse (Id id);
     void pump();
     void armExpiry();
-    Duration patience (const Asked& begun) const;
-    void giveUpWaiting (Id id);
-    void learnSize (std::size_t bytes);
-    void setPlaces();
-    void forget (Id id);
+    Duration overdueTimeout (const PendingBody& body) const;
+    void markOverdue (Id id);
+    void updateAverageSize (std::size_t bytes);
+    void updateLimit();
+    void remove (Id id);
     double transferMs (double bytes) const;
 
     std::shared_ptr<Reactor> reactor;
-    EarliestTimer expiry; /**< Of what waits in the queue. */
+    /** Fires when the next waiting body expires. */
+    EarliestTimer expiry;
     double bytesPerMs;
-    double usualBytes;
-    int overdueNow = 0; /**< Bodies that were called for and no longer count against the limit. */
+    double averageBytes;
+    /** Granted bodies that no longer count against the limit. */
+    int overdueBodies = 0;
     mesh::AdmissionQueue queue;
-    std::unordered_map<Id, Asked> asked;
+    std::unordered_map<Id, PendingBody> pending;
     BodyCounters counts;
     Id lastId = 0;
 };
--- a/src/sidecar/instance/crash_guard.cc
+++ b/src/sidecar/instance/crash_guard.cc
@@ -8,10 +8,11 @@
 namespace
 {
 
-// Nodes that start, or come back from a cut, learn what is held within about a second: each is told
-// twice in it on average, in a fleet of any size.
-constexpr Milliseconds tellingInterval{ 1000 };
-constexpr std::size_t toldAtOnce = 2;
+// Nodes that have just started, or that a partition had separated, learn which requests are held
+// within about a second: in this interval each node receives two updates on average, in a fleet of
+// any size.
+constexpr Milliseconds resendInterval{ 1000 };
+constexpr std::size_t nodesPerResend = 2;
 
 Timestamp now() { return SteadyClock().Now(); }
 
@@ -29,20 +30,20 @@
 
 void CrashGuard::setDirectory (const mesh::DirectorySnapshot& directory)
 {
-    known.clear();
+    knownNodes.clear();
 
-    // The node beside an instance that is gone still takes requests.
+    // The node beside an instance that is no longer listed still accepts requests.
     for (const auto& [address, listed] : directory.byAddress)
         if (listed.instance.address.ip != ownIp)
-            known.insert (listed.instance.address.ip);
+            knownNodes.insert (listed.instance.address.ip);
 
-    others.assign (known.begin(), known.end());
+    otherNodes.assign (knownNodes.begin(), knownNodes.end());
 }
 
 std::optional<mesh::RequestDigest>
-CrashGuard::suspectOf (const mesh::RequestIdentity& request) const
+CrashGuard::digestIfSuspect (const mesh::RequestIdentity& request) const
 {
-    // Few bodies are read for it: only of requests whose head is suspected.
+    // The digest covers the body, so it is computed only for requests with a suspect's head.
     if (ledger.empty() || ! ledger.knowsHead (headDigestOf (request)))
         return std::nullopt;
 
@@ -51,7 +52,7 @@
 
 std::optional<mesh::Hold> CrashGuard::holdOf (const mesh::RequestIdentity& request) const
 {
-    const auto digest = suspectOf (request);
+    const auto digest = digestIfSuspect (request);
     return digest ? ledger.holdOf (now(), *digest) : std::nullopt;
 }
 
@@ -62,12 +63,12 @@
 
     for (auto& record : records)
     {
-        take (now(), record, ownIp);
-        record = acquit (now(), record.request).value_or (record);
+        mergeRecord (now(), record, ownIp);
+        record = clearIfAnswered (now(), record.request).value_or (record);
     }
 
-    tellAll (records);
-    armTelling();
+    sendToAll (records);
+    armResendTimer();
 }
 
 void CrashGuard::answered (const mesh::RequestIdentity& request)
@@ -75,12 +76,12 @@
     const auto digest = digestOf (request);
     answers.observe (now(), digest);
 
-    if (const auto record = acquit (now(), digest))
-        tellAll ({ *record });
+    if (const auto record = clearIfAnswered (now(), digest))
+        sendToAll ({ *record });
 }
 
-std::optional<mesh::SuspectRecord> CrashGuard::acquit (Timestamp at,
-                                                       const mesh::RequestDigest& request)
+std::optional<mesh::SuspectRecord> CrashGuard::clearIfAnswered (Timestamp at,
+                                                                const mesh::RequestDigest& request)
 {
     if (ledger.empty() || ! answers.contains (at, request))
         return std::nullopt;
@@ -94,7 +95,7 @@
     return record;
 }
 
-void CrashGuard::take (Timestamp at, const mesh::SuspectRecord& record, std::string_view by)
+void CrashGuard::mergeRecord (Timestamp at, const mesh::SuspectRecord& record, std::string_view by)
 {
     const auto change = ledger.merge (at, record);
 
@@ -106,10 +107,10 @@
 
     logChange (at, EventKind::suspectCleared, record, by);
 
-    // Who told all of a crash tells all that this request isn't to blame.
+    // The node that reported a crash to all nodes also reports that this request didn't cause it.
     if (std::any_of (record.crashes.begin(), record.crashes.end(),
                      [this] (const auto& known) { return ownCrashes.contains (known.crash); }))
-        tellAll ({ record });
+        sendToAll ({ record });
 }
 
 void CrashGuard::logChange (Timestamp at, EventKind kind, const mesh::SuspectRecord& record,
@@ -123,7 +124,8 @@
                   { "suspects", static_cast<std::int64_t> (ledger.size()) } });
 }
 
-void CrashGuard::tell (const std::string& ip, const std::vector<mesh::SuspectRecord>& records)
+void CrashGuard::sendRecords (const std::string& ip,
+                              const std::vector<mesh::SuspectRecord>& records)
 {
     if (! send)
         return;
@@ -131,73 +133,73 @@
     for (std::size_t from = 0; from < records.size(); from += mesh::SuspectNews::mostRecords)
     {
         const auto to = std::min (records.size(), from + mesh::SuspectNews::mostRecords);
-        mesh::SuspectNews news;
-        news.records.assign (records.begin() + static_cast<std::ptrdiff_t> (from),
-                             records.begin() + static_cast<std::ptrdiff_t> (to));
+        mesh::SuspectNews update;
+        update.records.assign (records.begin() + static_cast<std::ptrdiff_t> (from),
+                               records.begin() + static_cast<std::ptrdiff_t> (to));
         ++counts.told;
-        send (ip, mesh::encode (news));
+        send (ip, mesh::encode (update));
     }
 }
 
-void CrashGuard::tellAll (const std::vector<mesh::SuspectRecord>& records)
+void CrashGuard::sendToAll (const std::vector<mesh::SuspectRecord>& records)
 {
-    for (const auto& ip : others)
-        tell (ip, records);
+    for (const auto& ip : otherNodes)
+        sendRecords (ip, records);
 }
 
-void CrashGuard::armTelling()
+void CrashGuard::armResendTimer()
 {
     if (! ledger.empty())
-        timer.arm (now() + tellingInterval,
+        timer.arm (now() + resendInterval,
                    [weak = weak_from_this()]
                    {
                        if (const auto self = weak.lock())
-                           self->tellSome();
+                           self->sendToRandomNodes();
                    });
 }
 
-void CrashGuard::tellSome()
+void CrashGuard::sendToRandomNodes()
 {
     ledger.advance (now());
     const auto records = ledger.worthTelling (now(), mesh::SuspectNews::mostRecords);
 
-    if (! records.empty() && ! others.empty())
+    if (! records.empty() && ! otherNodes.empty())
     {
-        std::uniform_int_distribution<std::size_t> any (0, others.size() - 1);
+        std::uniform_int_distribution<std::size_t> any (0, otherNodes.size() - 1);
 
-        for (std::size_t i = 0; i < toldAtOnce; ++i)
-            tell (others[any (random)], records);
+        for (std::size_t i = 0; i < nodesPerResend; ++i)
+            sendRecords (otherNodes[any (random)], records);
     }
 
-    armTelling();
+    armResendTimer();
 }
 
 bool CrashGuard::receive (const std::string& ip, std::string_view datagram)
 {
-    const auto news = mesh::decodeSuspectNews (datagram);
+    const auto update = mesh::decodeSuspectNews (datagram);
 
-    if (! news)
+    if (! update)
         return false;
 
-    // A stranger's word would keep anybody's requests away.
-    if (! known.contains (ip))
+    // Updates from unknown senders are ignored, since they could block any request.
+    if (! knownNodes.contains (ip))
         return true;
 
     ++counts.heard;
 
-    std::vector<mesh::SuspectRecord> acquitted;
+    std::vector<mesh::SuspectRecord> clearedRecords;
 
-    for (const auto& record : news->records)
+    for (const auto& record : update->records)
     {
-        take (now(), record, ip);
+        mergeRecord (now(), record, ip);
 
-        if (const auto cleared = acquit (now(), record.request))
-            acquitted.push_back (*cleared);
+        if (const auto cleared = clearIfAnswered (now(), record.request))
+            clearedRecords.push_back (*cleared);
     }
 
-    // Only to who told of it: many nodes may have answered a popular request.
-    tell (ip, acquitted);
-    armTelling();
+    // Only the sender is answered, since many nodes may have answered a frequent request.
+    sendRecords (ip, clearedRecords);
+    armResendTimer();
     return true;
 }
 
--- a/src/sidecar/instance/crash_guard.h
+++ b/src/sidecar/instance/crash_guard.h
@@ -1,5 +1,5 @@
-/** Keeps requests that crash instances away from them, on all nodes: holds the node's crash ledger,
-    tells the other nodes what changes in it and takes what they tell. Of the reactor's thread.
+/** Keeps requests that crash instances away from the instances of all nodes. Owns the node's crash
+    ledger, sends its changes to the other nodes and merges theirs. Runs on the reactor's thread.
 */
 #pragma once
 
@@ -21,56 +21,61 @@
 namespace copperlead::sidecar
 {
 
-/** Counted since the start. */
+/** Counters since the process started. */
 struct CrashGuardCounters
 {
-    std::uint64_t told = 0, heard = 0;   /**< Datagrams. */
-    std::uint64_t held = 0, cleared = 0; /**< Requests that became held; and that were cleared. */
-    std::uint64_t refused = 0;           /**< Arrivals of held requests at this node. */
+    std::uint64_t told = 0, heard = 0; /**< Datagrams sent; and received. */
+    /** Requests that became held; and that were cleared. */
+    std::uint64_t held = 0, cleared = 0;
+    std::uint64_t refused = 0; /**< Held requests that this node refused. */
 };
 
 class CrashGuard : public std::enable_shared_from_this<CrashGuard>
 {
 public:
-    /** @param ownIpToUse  nothing is sent there */
+    /** @param ownIpToUse  address of this node, which is sent nothing */
     CrashGuard (std::shared_ptr<Reactor> reactorToUse, const mesh::CrashLimits& limits,
                 std::string ownIpToUse, std::shared_ptr<DecisionLog> logToUse);
 
-    /** Sends a datagram to the node at an IP; without it this node keeps what it knows to itself.
-     */
+    /** Sends a datagram to the node at an IP address. While it is empty, nothing is sent. */
     std::function<void (const std::string& ip, const std::string& bytes)> send;
 
-    /** Nodes are told and listened to while an instance beside them is known, or was lately. */
+    /** Sets the nodes to exchange updates with: those beside an instance that is listed or was
+        listed recently.
+    */
     void setDirectory (const mesh::DirectorySnapshot& directory);
 
-    /** The instance beside this node crashed. */
+    /** Reports that the instance beside this node crashed. */
     void crashed (const mesh::CrashReport& report);
 
-    /** An instance answered a request. */
+    /** Reports that an instance answered a request. */
     void answered (const mesh::RequestIdentity& request);
 
-    /** Nothing when the request may be sent to an instance. */
+    /** Returns no value if the request may be sent to an instance. */
     std::optional<mesh::Hold> holdOf (const mesh::RequestIdentity& request) const;
 
-    /** A request was refused since it is held. */
+    /** Counts a request that was refused because it is held. */
     void countRefusal() { ++counts.refused; }
 
-    /** @returns false when the datagram is none of the guard's */
+    /** @returns false if the datagram is not a crash update */
     bool receive (const std::string& ip, std::string_view datagram);
 
     const CrashGuardCounters& counters() const { return counts; }
     std::size_t suspects() const { return ledger.size(); }
 
 private:
-    std::optional<mesh::RequestDigest> suspectOf (const mesh::RequestIdentity& request) const;
-    void take (Timestamp now, const mesh::SuspectRecord& record, std::string_view by);
-
-    /** @returns what to tell of a suspect that was answered here lately; nothing when it wasn't */
-    std::optional<mesh::SuspectRecord> acquit (Timestamp now, const mesh::RequestDigest& request);
-    void tellAll (const std::vector<mesh::SuspectRecord>& records);
-    void tell (const std::string& ip, const std::vector<mesh::SuspectRecord>& records);
-    void armTelling();
-    void tellSome();
+    std::optional<mesh::RequestDigest> digestIfSuspect (const mesh::RequestIdentity& request) const;
+    void mergeRecord (Timestamp now, const mesh::SuspectRecord& record, std::string_view by);
+
+    /** Clears a suspect if this node's instance answered it recently.
+        @returns the record to send, or no value if nothing was cleared
+    */
+    std::optional<mesh::SuspectRecord> clearIfAnswered (Timestamp now,
+                                                        const mesh::RequestDigest& request);
+    void sendToAll (const std::vector<mesh::SuspectRecord>& records);
+    void sendRecords (const std::string& ip, const std::vector<mesh::SuspectRecord>& records);
+    void armResendTimer();
+    void sendToRandomNodes();
     void logChange (Timestamp now, EventKind kind, const mesh::SuspectRecord& record,
                     std::string_view by);
 
@@ -78,12 +83,16 @@
     std::string ownIp;
     std::shared_ptr<DecisionLog> log;
     mesh::CrashLedger ledger;
-    mesh::RecentAnswers answers;                  /**< Of the instance beside this node. */
-    std::unordered_set<std::uint64_t> ownCrashes; /**< Of that instance, as told to all. */
-    EarliestTimer timer;                          /**< For what is told again. */
+    /** Recent answers of the instance beside this node. */
+    mesh::RecentAnswers answers;
+    /** Crashes of that instance that were reported to all nodes. */
+    std::unordered_set<std::uint64_t> ownCrashes;
+    /** Fires when suspects are sent again. */
+    EarliestTimer timer;
     std::minstd_rand random{ std::random_device{}() };
-    std::vector<std::string> others; /**< IPs of the other nodes. */
-    std::unordered_set<std::string> known;
+    /** IP addresses of the other nodes, for random choice. */
+    std::vector<std::string> otherNodes;
+    std::unordered_set<std::string> knownNodes; /**< The same addresses, for look-up. */
     CrashGuardCounters counts;
 };
 
--- a/src/sidecar/instance/instance_answer.cc
+++ b/src/sidecar/instance/instance_answer.cc
@@ -10,9 +10,9 @@
 using mesh::HopCause;
 using mesh::HopOutcome;
 
-constexpr int misdirectedStatus = 421; // It is another instance than the one that was meant.
+constexpr int misdirectedStatus = 421; // The instance is not the one that was addressed.
 
-InstanceVerdict judgeWhole (const CallResult& result, const HeaderNames& names)
+InstanceVerdict judgeCompleteAnswer (const CallResult& result, const HeaderNames& names)
 {
     const auto& fields = result.head.fields;
     const int status = result.head.status;
@@ -44,7 +44,7 @@
     case CallEnd::broken:
         return { HopOutcome::unknown, HopCause::answerBroken };
     case CallEnd::answered:
-        return judgeWhole (result, names);
+        return judgeCompleteAnswer (result, names);
     default:
         return { HopOutcome::unknown, HopCause::answerLost };
     }
--- a/src/sidecar/instance/instance_answer.h
+++ b/src/sidecar/instance/instance_answer.h
@@ -1,4 +1,4 @@
-/** What an instance's answer, or its absence, says about the request's run. */
+/** Derives from an instance's answer, or from its absence, whether the request has run. */
 #pragma once
 
 #include "mesh/hop_header.h"
@@ -14,7 +14,9 @@
     mesh::HopCause cause = mesh::HopCause::none;
 };
 
-/** A success must be whole, signed, and in the encoding that was asked for (none). */
+/** A successful answer must be complete, signed and without a content encoding, since none was
+    requested.
+*/
 InstanceVerdict judgeInstanceAnswer (const CallResult& result, const HeaderNames& names);
 
 } // namespace copperlead::sidecar
--- a/src/sidecar/instance/link_pacer.cc
+++ b/src/sidecar/instance/link_pacer.cc
@@ -65,15 +65,15 @@
                [weak = weak_from_this()]
                {
                    if (const auto self = weak.lock())
-                       self->giveTurns();
+                       self->runNextTurn();
                });
 }
 
-void LinkPacer::giveTurns()
+void LinkPacer::runNextTurn()
 {
     if (const auto id = schedule.next (now()))
     {
-        // The transfer may end by its turn.
+        // The callback is copied, since the transfer may end during its turn.
         const auto turn = turns.at (*id);
         turn();
     }
--- a/src/sidecar/instance/link_pacer.h
+++ b/src/sidecar/instance/link_pacer.h
@@ -1,5 +1,5 @@
-/** Gives the large answers of a server's connections their turns on this node's link. Runs a
-    LinkSchedule. Of the reactor's thread.
+/** Schedules the large answers of a server's connections on this node's link by means of a
+    LinkSchedule. Runs on the reactor's thread.
 */
 #pragma once
 
@@ -13,11 +13,11 @@
 namespace copperlead::sidecar
 {
 
-/** Counted since the start. */
+/** Counters since the process started. */
 struct LinkCounters
 {
-    std::uint64_t transfers = 0, bytes = 0; /**< Of large answers. */
-    std::uint64_t stalls = 0;               /**< Receivers that took nothing for a while. */
+    std::uint64_t transfers = 0, bytes = 0; /**< Large answers, and bytes of them. */
+    std::uint64_t stalls = 0;               /**< Times that a receiver stopped reading. */
 };
 
 class LinkPacer : public std::enable_shared_from_this<LinkPacer>
@@ -25,7 +25,7 @@
 public:
     using Id = mesh::LinkSchedule::Id;
 
-    /** @param linkMbps  of this machine, as its settings say */
+    /** @param linkMbps  configured bandwidth of this machine's link */
     LinkPacer (std::shared_ptr<Reactor> reactor, double linkMbps);
 
     /** @param onTurn  called when a piece may be written */
@@ -33,13 +33,13 @@
     void end (Id id);
     void setStalled (Id id, bool stalled);
 
-    /** How many bytes may be written now; 0: the turn comes later. */
+    /** Returns how many bytes may be written now; 0 if the transfer has to wait for its turn. */
     std::size_t allowance (Id id) const;
 
-    /** Something was written to the link. @param id  the transfer's; 0: a small answer */
+    /** Reports a write to the link. @param id  the transfer's, or 0 for a small answer */
     void wrote (Id id, std::size_t bytes);
 
-    /** Until a further large answer would be through, in milliseconds. */
+    /** Returns the time until one more large answer would have been sent, in milliseconds. */
     double expectedMs (double bytes) const;
 
     std::size_t waiting() const { return schedule.waiting(); }
@@ -47,7 +47,7 @@
 
 private:
     void arm();
-    void giveTurns();
+    void runNextTurn();
 
     mesh::LinkSchedule schedule;
     EarliestTimer timer;
--- a/src/sidecar/instance/peer_endpoint.cc
+++ b/src/sidecar/instance/peer_endpoint.cc
@@ -10,10 +10,10 @@
 namespace
 {
 
-// An entry may lapse meanwhile, which shows in no revision.
-constexpr Milliseconds encodedChangesTime{ 100 };
+// Limits the age of a cached answer, since an entry that expires doesn't change the revision.
+constexpr Milliseconds encodedChangesLifetime{ 100 };
 
-/** The answer to a hop call that carries its report. */
+/** Answers a hop call with its report. */
 void answerHopCall (const ExchangePointer& exchange, HopAnswer answer)
 {
     answer.fields.push_back ({ std::string (mesh::hopField), mesh::encode (answer.report) });
@@ -36,12 +36,12 @@
 PeerEndpoint::PeerEndpoint (HeaderNames namesToUse, std::shared_ptr<LastHop> lastHopToUse,
                             std::shared_ptr<BodyAdmission> bodiesToAdmit,
                             std::shared_ptr<DecisionLog> logToUse,
-                            const mesh::MeshState& stateToTell)
+                            const mesh::MeshState& stateToUse)
     : names (std::move (namesToUse))
     , lastHop (std::move (lastHopToUse))
     , bodies (std::move (bodiesToAdmit))
     , log (std::move (logToUse))
-    , state (stateToTell)
+    , state (stateToUse)
 {
 }
 
@@ -81,14 +81,14 @@
 {
     const auto now = SteadyClock().Now();
     const auto ownVersion = state.configurations().version();
-    const bool same = lastChanges.from == from && lastChanges.version == version &&
-                      lastChanges.at == state.reached() && lastChanges.ownVersion == ownVersion;
+    const bool same = cachedChanges.from == from && cachedChanges.version == version &&
+                      cachedChanges.at == state.reached() && cachedChanges.ownVersion == ownVersion;
 
-    if (! same || now - lastChanges.madeAt > encodedChangesTime)
-        lastChanges = { from,       version, state.reached(),
-                        ownVersion, now,     mesh::encode (state.changesSince (from, version)) };
+    if (! same || now - cachedChanges.madeAt > encodedChangesLifetime)
+        cachedChanges = { from,       version, state.reached(),
+                          ownVersion, now,     mesh::encode (state.changesSince (from, version)) };
 
-    return lastChanges.bytes;
+    return cachedChanges.bytes;
 }
 
 void PeerEndpoint::refuseBody (const ExchangePointer& exchange, const mesh::HopRequest& facts,
@@ -145,7 +145,7 @@
                          self->refuseBody (held, *facts, bytes, mesh::HopCause::linkFull);
                      });
 
-    // A refusal has come already.
+    // The exchange has no handler any more if the body was refused immediately.
     if (exchange->onGone)
         admitted.emplace (key, id);
 }
--- a/src/sidecar/instance/peer_endpoint.h
+++ b/src/sidecar/instance/peer_endpoint.h
@@ -1,5 +1,5 @@
-/** Answers what other nodes ask of this one: hop calls, with or before their bodies, and the
-    changes that they lack. Of the reactor's thread.
+/** Answers the requests of other nodes: hop calls, whose large bodies are admitted first, and
+    requests for changes that those nodes lack. Runs on the reactor's thread.
 */
 #pragma once
 
@@ -19,15 +19,15 @@
 class PeerEndpoint : public std::enable_shared_from_this<PeerEndpoint>
 {
 public:
-    /** @param stateToTell  outlives this */
+    /** @param stateToUse  has to outlive this object */
     PeerEndpoint (HeaderNames namesToUse, std::shared_ptr<LastHop> lastHopToUse,
                   std::shared_ptr<BodyAdmission> bodiesToAdmit,
-                  std::shared_ptr<DecisionLog> logToUse, const mesh::MeshState& stateToTell);
+                  std::shared_ptr<DecisionLog> logToUse, const mesh::MeshState& stateToUse);
 
-    /** Answers the exchange now or once the instance has. */
+    /** Answers an exchange immediately, or once the instance has answered. */
     void take (const ExchangePointer& exchange);
 
-    /** Decides by the head of a hop call whether its body may come, and when. */
+    /** Decides from the head of a hop call whether its body may be sent, and when. */
     void admitBody (const ExchangePointer& exchange);
 
 private:
@@ -37,14 +37,14 @@
     void takeHopCall (const ExchangePointer& exchange);
     void answerChanges (const ExchangePointer& exchange);
 
-    /** The last changes that were asked for, encoded: after each beat all nodes of a zone ask for
-        the same.
+    /** The encoded answer to the latest request for changes. It is kept because after each
+        heartbeat all nodes of a zone request the same changes.
     */
     struct EncodedChanges
     {
-        mesh::SourcePosition from; /**< The position that the asking node has reached. */
-        std::uint64_t version = 0; /**< The version that the asking node runs. */
-        mesh::SourcePosition at;   /**< The position of this node's state. */
+        mesh::SourcePosition from; /**< Position that the requesting node has reached. */
+        std::uint64_t version = 0; /**< Version that the requesting node runs. */
+        mesh::SourcePosition at;   /**< Position of this node's state. */
         std::uint64_t ownVersion = 0;
         Timestamp madeAt{};
         std::string bytes;
@@ -57,9 +57,9 @@
     std::shared_ptr<BodyAdmission> bodies;
     std::shared_ptr<DecisionLog> log;
     const mesh::MeshState& state;
-    EncodedChanges lastChanges;
+    EncodedChanges cachedChanges;
 
-    /** Hop calls whose bodies were called for, or wait for that. */
+    /** Hop calls whose bodies have been admitted or wait for admission. */
     std::unordered_map<const Exchange*, BodyAdmission::Id> admitted;
 };
 
