--- a/src/sidecar/instance/health_probe.cc
+++ b/src/sidecar/instance/health_probe.cc
@@ -10,7 +10,8 @@
 namespace
 {
 
-constexpr Milliseconds probeTimeout{ 400 }; // Long for a call on one machine, short for a refusal.
+// Ample for a call on the same machine, and short enough for a prompt refusal.
+constexpr Milliseconds probeTimeout{ 400 };
 
 } // namespace
 
@@ -23,26 +24,27 @@
 {
 }
 
-void HealthProbe::ask (Callback callback)
+void HealthProbe::probe (Callback callback)
 {
-    underWay = true;
+    inProgress = true;
     CallOptions options;
     options.deadline = SteadyClock().Now() + probeTimeout;
     options.freshConnection = true;
     const HeaderFields fields{ { "Host", ToString (address) } };
-    client->send (address, requestMessage ("GET", path, fields, {}), options,
-                  [weak = weak_from_this(), told = std::move (callback)] (const CallResult& result)
-                  {
-                      const auto self = weak.lock();
+    client->send (
+        address, requestMessage ("GET", path, fields, {}), options,
+        [weak = weak_from_this(), onAnswer = std::move (callback)] (const CallResult& result)
+        {
+            const auto self = weak.lock();
 
-                      if (self == nullptr)
-                          return;
+            if (self == nullptr)
+                return;
 
-                      self->underWay = false;
-                      const auto& received = result.head.fields;
-                      told ({ result, std::string (onlyValue (received, self->names.instanceId)),
-                              self->coldTimeOf (received) });
-                  });
+            self->inProgress = false;
+            const auto& received = result.head.fields;
+            onAnswer ({ result, std::string (onlyValue (received, self->names.instanceId)),
+                        self->coldTimeOf (received) });
+        });
 }
 
 std::optional<Milliseconds> HealthProbe::coldTimeOf (const HeaderFields& fields) const
--- a/src/sidecar/instance/health_probe.h
+++ b/src/sidecar/instance/health_probe.h
@@ -1,5 +1,5 @@
-/** Asks the instance beside a node how it is, at its health address: which one it is, and for how
-    long it stays cold. Of the reactor's thread.
+/** Queries the health address of the instance beside a node for the instance's identity and for how
+    long it stays cold. Runs on the reactor's thread.
 */
 #pragma once
 
@@ -18,10 +18,11 @@
 struct HealthAnswer
 {
     CallResult call;
-    std::string instanceId; /**< That answered; empty when it doesn't tell. */
+    /** Empty if the answer doesn't name the instance. */
+    std::string instanceId;
 
-    /** Zero of a warm instance, which leaves the field out; nothing of an answer that holds no time
-        that can be meant.
+    /** Zero for a warm instance, which leaves the field out; no value if the field holds no
+        plausible time.
     */
     std::optional<Milliseconds> coldFor;
 };
@@ -36,11 +37,11 @@
 
     void setPath (std::string newPath) { path = std::move (newPath); }
 
-    /** False while a question is out, or the health address isn't known. */
-    bool mayAsk() const { return ! underWay && ! path.empty(); }
+    /** Returns false while a probe is in progress or no health path is configured. */
+    bool canProbe() const { return ! inProgress && ! path.empty(); }
 
-    /** The callback comes once, also without an answer. */
-    void ask (Callback callback);
+    /** Sends a probe. The callback is called once, also if no answer arrives. */
+    void probe (Callback callback);
 
 private:
     std::optional<Milliseconds> coldTimeOf (const HeaderFields& fields) const;
@@ -50,7 +51,7 @@
     SocketAddress address;
     std::shared_ptr<DecisionLog> log;
     std::string path;
-    bool underWay = false;
+    bool inProgress = false;
 };
 
 } // namespace copperlead::sidecar
--- a/src/sidecar/instance/last_hop.cc
+++ b/src/sidecar/instance/last_hop.cc
@@ -18,8 +18,9 @@
 using mesh::nameOf;
 using mesh::toMilliseconds;
 
-constexpr double repeatLearningRate = 0.03;
-constexpr Milliseconds deadlineGrace{ 20 }; // For the instance's own answer at the deadline.
+constexpr double repeatAveragingWeight = 0.03;
+// Leaves time for the instance's own answer at the deadline to arrive.
+constexpr Milliseconds deadlineGrace{ 20 };
 
 ClientSettings clientSettings()
 {
@@ -70,7 +71,8 @@
 {
     const auto usualRun = mesh::fromMilliseconds (usualRunMs);
 
-    if (stopping || (endsAt != Timestamp::max() && SteadyClock().Now() + 2 * usualRun > endsAt))
+    if (stopping ||
+        (runDeadline != Timestamp::max() && SteadyClock().Now() + 2 * usualRun > runDeadline))
         return HopCause::nodeStopping;
 
     if (! instance.known())
@@ -96,7 +98,7 @@
     running.call = std::move (call);
     running.callback = std::move (callback);
     running.arrivedAt = now;
-    running.deadline = std::min<Timestamp> (now + running.call.facts.timeLeft, endsAt);
+    running.deadline = std::min<Timestamp> (now + running.call.facts.timeLeft, runDeadline);
 
     if (const auto cause = refusalOf (running.call.facts); cause != HopCause::none)
     {
@@ -119,19 +121,19 @@
     if (decision == mesh::AdmissionDecision::run)
         run (id, now);
     else if (decision == mesh::AdmissionDecision::refuse)
-        refuse (id, fullCause (now));
+        refuse (id, queueRefusalCause (now));
     else
         armTimer();
 
     return id;
 }
 
-HopCause LastHop::fullCause (Timestamp now) const
+HopCause LastHop::queueRefusalCause (Timestamp now) const
 {
     return queue.startWindow().binds (now) ? HopCause::instanceCold : HopCause::queueFull;
 }
 
-void LastHop::logRefusal (const Running& running, HopCause cause)
+void LastHop::logRefusal (const PendingCall& running, HopCause cause)
 {
     const auto now = SteadyClock().Now();
     log->write (now, EventKind::admissionRefused,
@@ -147,7 +149,7 @@
                   { "cold_ms", std::max (coldMs (now), 0.0) } });
 }
 
-Timestamp LastHop::targetOf (const Running& running)
+Timestamp LastHop::targetOf (const PendingCall& running)
 {
     return running.arrivedAt + running.call.facts.targetLeft;
 }
@@ -185,7 +187,7 @@
         callback (std::move (answer));
 }
 
-std::string LastHop::messageFor (const Running& running, Timestamp now) const
+std::string LastHop::messageFor (const PendingCall& running, Timestamp now) const
 {
     const auto left = std::chrono::floor<Milliseconds> (running.deadline - now).count();
     auto fields = running.call.fields;
@@ -223,13 +225,13 @@
 
 void LastHop::run (CallId id, Timestamp now)
 {
-    // On a machine that is short of processor time the caller's leaving may wait to be handled.
+    // On an overloaded machine, the caller's disconnection may not have been handled yet.
     if (dropAbandoned (id) || dropHeld (id))
         return;
 
     auto& running = calls.at (id);
     running.startedAt = now;
-    repeats += repeatLearningRate * ((running.call.facts.isRepeat ? 1 : 0) - repeats);
+    repeats += repeatAveragingWeight * ((running.call.facts.isRepeat ? 1 : 0) - repeats);
 
     CallOptions options;
     options.deadline = running.deadline + deadlineGrace;
@@ -270,13 +272,13 @@
     const auto took = toMilliseconds (SteadyClock().Now() - found->second.startedAt);
     queue.finished (id, measured ? took : 0);
     counts.instance.observe (took);
-    learnFailure (outcome, result);
+    recordFailure (outcome, result);
 
     if (outcome == HopOutcome::unknown)
-        learnUnanswered (found->second);
+        recordUnanswered (found->second);
 
     counts.queue.observe (toMilliseconds (found->second.startedAt - found->second.arrivedAt));
-    learn (result);
+    updateInstance (result);
     answer.report = report (outcome, cause);
     answer.report.tookMs = took;
 
@@ -285,7 +287,7 @@
         if (guard != nullptr)
             guard->answered (identityOf (found->second.call));
 
-        learnSize (found->second.call.facts.route, result.body.size());
+        updateAnswerSize (found->second.call.facts.route, result.body.size());
         answer.status = result.head.status;
         answer.reason = std::move (result.head.reason);
         answer.fields = forwardedAnswerFields (result.head.fields);
@@ -336,11 +338,12 @@
     running.callback = nullptr;
     const bool started = running.startedAt != Timestamp{};
 
-    // What may run only once is let finish: nobody could say otherwise whether it ran.
+    // A request that must not be repeated is left to finish, since after an abort it would be
+    // unknown whether it ran.
     if (started && ! running.call.facts.mayRepeat)
         return;
 
-    // What is broken off at an instance may still crash it.
+    // A request that was aborted may still crash the instance.
     if (started)
         crashes.brokenOff (SteadyClock().Now(), running.startedAt,
                            mesh::digestOf (identityOf (running.call)));
--- a/src/sidecar/instance/last_hop.h
+++ b/src/sidecar/instance/last_hop.h
@@ -1,6 +1,6 @@
-/** The last hop of a request: from the node beside an instance into that instance. It alone speaks
-    to the instance, so it bounds what runs there, knows which instance it truly is, and says
-   whether a request has run. Of the reactor's thread.
+/** The last hop of a request: from the node beside an instance to that instance. No other component
+    sends requests to the instance, so the last hop limits what runs there, detects which instance
+    it actually is, and reports whether a request has run. Runs on the reactor's thread.
 */
 #pragma once
 
@@ -28,20 +28,22 @@
 namespace copperlead::sidecar
 {
 
-/** A request that another node, or this one, hands over. */
+/** A request for the instance, from another node or from this one. */
 struct HopCall
 {
     mesh::HopRequest facts;
     std::string method, target;
-    HeaderFields fields; /**< End-to-end ones, with Host. */
+    /** End-to-end fields, including Host. */
+    HeaderFields fields;
     std::string body;
-    std::function<bool()> abandoned; /**< Whether its caller has left, also if unhandled so far. */
-    bool overLink = false;           /**< Its answer goes to another node. */
+    /** Returns true if the caller has disconnected, even if the event hasn't been handled yet. */
+    std::function<bool()> abandoned;
+    bool overLink = false; /**< The answer goes to another node. */
 };
 
 mesh::RequestIdentity identityOf (const HopCall& call);
 
-/** What came of it; everything but the report is empty unless the instance answered. */
+/** The result of a call. All members except the report are empty unless the instance answered. */
 struct HopAnswer
 {
     mesh::HopReport report;
@@ -55,19 +57,22 @@
 {
     HeaderNames names;
     SocketAddress instanceAddress;
-    std::string service; /**< That the settings name for the instance. */
+    /** The instance's service according to the settings. */
+    std::string service;
     std::string zone;
-    int extraSlots = 0; /**< Requests at the instance beyond its slots. */
+    /** Requests that may run at the instance beyond its slots. */
+    int extraSlots = 0;
     mesh::ColdBounds coldBounds;
 };
 
-/** Counted since the start. */
+/** Counters since the process started. */
 struct LastHopCounters
 {
-    mesh::LatencyHistogram queue, instance; /**< Wait before a run, and time at the instance. */
-    std::uint64_t coldQuestions = 0;        /**< Whether the instance is cold. */
-    std::uint64_t crashQuestions = 0;       /**< Whether the instance has crashed. */
-    std::uint64_t crashes = 0;              /**< Of the instance, while something ran there. */
+    mesh::LatencyHistogram queue, instance; /**< Time in the queue, and at the instance. */
+    std::uint64_t coldQuestions = 0;        /**< Probes of whether the instance is cold. */
+    std::uint64_t crashQuestions = 0;       /**< Probes of whether the instance has crashed. */
+    /** Crashes of the instance while requests ran there. */
+    std::uint64_t crashes = 0;
 };
 
 class LastHop : public std::enable_shared_from_this<LastHop>
@@ -80,62 +85,73 @@
              std::shared_ptr<DecisionLog> logToUse);
     ~LastHop();
 
-    /** What would be said at once to a request, whatever runs and waits; none: nothing. */
+    /** Returns the cause for which a request would be refused immediately, regardless of the load;
+        `none` if it wouldn't be.
+    */
     mesh::HopCause refusalOf (const mesh::HopRequest& facts) const;
 
-    /** The report of a request that isn't run. */
+    /** Returns the report for a request that isn't run. */
     mesh::HopReport refusal (mesh::HopCause cause) const
     {
         return report (mesh::HopOutcome::notRun, cause);
     }
 
-    /** How a request would be taken that came now.
-        @param overLink  from another node
+    /** Predicts what would happen to a request that arrived now.
+        @param overLink  whether the request would come from another node
     */
     mesh::LoadReply forecast (const mesh::LoadQuery& query, bool overLink) const;
 
-    /** The instance beside this node. */
+    /** Returns the id of the instance beside this node. */
     const std::string& instanceId() const { return instance.id(); }
 
-    /** Until a large body would have come over this node's link, for its reports. */
+    /** Returns the time in milliseconds until a large body would have arrived over this node's
+        link, for the reports.
+    */
     std::function<double()> bodyMs;
 
-    /** Until a large answer of that many bytes would be through, over this node's link. */
+    /** Returns the time in milliseconds until a large answer of this size would have been sent over
+        this node's link.
+    */
     std::function<double (double bytes)> answerMs;
 
-    /** The callback may come before this returns; after cancel() it doesn't come. */
+    /** Starts a call. The callback may be called before this function returns; it isn't called
+        after cancel().
+    */
     CallId start (HopCall call, Callback callback);
 
-    /** The caller no longer wants the answer. What may be repeated is broken off at the instance.
-     */
+    /** Cancels a call whose caller no longer wants the answer. A request that may be repeated is
+        also aborted at the instance.
+    */
     void cancel (CallId id);
 
     void setDirectory (Timestamp now, const mesh::DirectorySnapshot& directory);
     void setServiceSettings (const mesh::ServiceSettings& service);
     void setService (std::string service);
 
-    /** Told of crashes, and asked what not to run; without one everything is run. */
+    /** Sets the guard that receives crashes and decides which requests are held. Without one, no
+        request is held.
+    */
     void setCrashGuard (std::shared_ptr<CrashGuard> newGuard) { guard = std::move (newGuard); }
     void setConfigurationVersion (std::uint64_t version) { configurationVersion = version; }
 
-    /** Refuses from now on what can't be expected to end before `end`. */
-    void setEnd (Timestamp end) { endsAt = end; }
+    /** From now on, refuses requests that are not expected to finish before `end`. */
+    void setEnd (Timestamp end) { runDeadline = end; }
 
-    /** Refuses what comes from now on, and what waits. */
+    /** Refuses all waiting requests, and all that arrive from now on. */
     void stopTaking();
 
-    /** To be called some times a second: probes an instance that is lost or not known, or may be
-        cold.
+    /** Probes an instance that is lost, unknown or possibly cold. Has to be called several times a
+        second.
     */
     void tick (Timestamp now);
 
-    /** The share of repeats among the runs here lately. */
+    /** Returns the share of repeated requests among the recent runs. */
     double repeatShare() const { return repeats; }
 
-    /** The share of failures among the runs here lately. */
+    /** Returns the share of failures among the recent runs. */
     double failureShare (Timestamp now) const { return failures.at (now); }
 
-    /** For how long the instance stays cold; negative or zero when it is warm. */
+    /** Returns how long the instance stays cold, in ms; zero or negative if it is warm. */
     double coldMs (Timestamp now) const;
 
     std::size_t inFlight() const { return calls.size(); }
@@ -144,7 +160,8 @@
     const ClientCounters& clientCounters() const { return client->counters(); }
 
 private:
-    struct Running
+    /** A call that waits in the queue or runs at the instance. */
+    struct PendingCall
     {
         HopCall call;
         Callback callback;
@@ -159,36 +176,37 @@
     bool isHeld (const HopCall& call) const;
     void pump();
     void armTimer();
-    void takeIdentity (Timestamp now, mesh::IdentitySource by, const std::string& before);
+    void adoptIdentity (Timestamp now, mesh::IdentitySource by, const std::string& before);
     void setEvacuated (Timestamp now, bool isEvacuated);
     void presumeCold (Timestamp now, std::string_view cause);
-    void followColdStart (Timestamp now, std::string_view cause);
-    void askWhetherCold (Timestamp now);
-    mesh::HopCause fullCause (Timestamp now) const;
+    void applyColdState (Timestamp now, std::string_view cause);
+    void probeIfColdUnknown (Timestamp now);
+    mesh::HopCause queueRefusalCause (Timestamp now) const;
     void refuse (CallId id, mesh::HopCause cause);
     void refuseAll (const std::vector<CallId>& ids, mesh::HopCause cause);
     void onResult (CallId id, CallResult result);
-    void learn (const CallResult& result);
-    void learnUnanswered (const Running& running);
-    void learnAlive (Timestamp sentAt);
-    void learnGone (Timestamp now);
-    void learnQuestionCut();
+    void updateInstance (const CallResult& result);
+    void recordUnanswered (const PendingCall& running);
+    void recordAlive (Timestamp sentAt);
+    void recordRefusedConnection (Timestamp now);
+    void recordLostProbe();
     void armCrashCheck();
     void checkForCrash();
     void reportCrash();
-    void learnFailure (mesh::HopOutcome outcome, const CallResult& result);
+    void recordFailure (mesh::HopOutcome outcome, const CallResult& result);
     void complete (CallId id, HopAnswer answer);
     mesh::HopReport report (mesh::HopOutcome outcome, mesh::HopCause cause) const;
-    std::string messageFor (const Running& running, Timestamp now) const;
+    std::string messageFor (const PendingCall& running, Timestamp now) const;
     void probe();
-    void onProbed (const HealthAnswer& answer);
-    static Timestamp targetOf (const Running& running);
+    void onProbeAnswer (const HealthAnswer& answer);
+    static Timestamp targetOf (const PendingCall& running);
     double transferMs (const std::string& route, bool overLink) const;
-    void learnSize (const std::string& route, std::size_t bytes);
-    void logRefusal (const Running& running, mesh::HopCause cause);
+    void updateAnswerSize (const std::string& route, std::size_t bytes);
+    void logRefusal (const PendingCall& running, mesh::HopCause cause);
 
     std::shared_ptr<Reactor> reactor;
-    EarliestTimer timer; /**< For what waits in the queue. */
+    /** Fires at the next expiry or start in the queue. */
+    EarliestTimer timer;
     LastHopSettings settings;
     std::shared_ptr<DecisionLog> log;
     std::shared_ptr<HttpClient> client;
@@ -197,20 +215,22 @@
     mesh::LocalInstance instance;
     mesh::ColdStart coldStart;
     mesh::CrashWatch crashes;
-    std::shared_ptr<CrashGuard> guard; /**< Null: nothing is held. */
+    /** Null if no request is to be held. */
+    std::shared_ptr<CrashGuard> guard;
     bool crashCheckArmed = false, crashReportArmed = false;
-    std::unordered_map<CallId, Running> calls;
+    std::unordered_map<CallId, PendingCall> calls;
     LastHopCounters counts;
     CallId lastId = 0;
     const Timestamp createdAt = SteadyClock().Now();
     double repeats = 0;
     mesh::FailureShare failures;
-    std::unordered_map<std::string, double>
-        answerBytes; /**< Usual ones of large answers, by route. */
+    /** Average size of large answers, by route. */
+    std::unordered_map<std::string, double> answerBytes;
     std::uint64_t configurationVersion = 0;
-    Timestamp endsAt = Timestamp::max();
+    Timestamp runDeadline = Timestamp::max();
     bool stopping = false;
-    bool evacuated = false; /**< The zone is. */
+    /** Whether this node's zone is evacuated. */
+    bool evacuated = false;
 };
 
 } // namespace copperlead::sidecar
--- a/src/sidecar/instance/last_hop_crash.cc
+++ b/src/sidecar/instance/last_hop_crash.cc
@@ -1,4 +1,6 @@
-/** What the last hop learns of crashes of its instance, and whom it tells what ran there. */
+/** The part of the last hop that detects crashes of its instance and reports the requests that ran
+    there.
+*/
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
@@ -12,19 +14,20 @@
 namespace
 {
 
-// After a lost answer: an idle instance is asked whether it lives, a busy one has mostly shown it.
+// Delay from a lost answer to the probe of the instance. A busy instance has usually answered
+// another request by then, so that only an idle one is probed.
 constexpr Milliseconds crashCheckDelay{ 100 };
 
-// All connections of an instance end with it, but are handled one after the other.
+// When an instance ends, all its connections end, but these events are handled one after the other.
 constexpr Milliseconds crashReportDelay{ 5 };
 
-constexpr std::size_t mostDigestsInLog = 8;
+constexpr std::size_t maxDigestsInLog = 8;
 
 std::string textOf (const std::vector<mesh::RequestDigest>& requests)
 {
     std::vector<std::string> shown;
 
-    for (std::size_t i = 0; i < std::min (requests.size(), mostDigestsInLog); ++i)
+    for (std::size_t i = 0; i < std::min (requests.size(), maxDigestsInLog); ++i)
         shown.push_back (toText (requests[i]));
 
     return fmt::format ("{}", fmt::join (shown, " "));
@@ -48,13 +51,13 @@
     if (! isHeld (calls.at (id).call))
         return false;
 
-    // It waited in the queue while an instance elsewhere crashed under its like.
+    // While the request waited in the queue, an equal one may have crashed another instance.
     queue.cancel (id);
     refuse (id, mesh::HopCause::crashSuspect);
     return true;
 }
 
-void LastHop::learnUnanswered (const Running& running)
+void LastHop::recordUnanswered (const PendingCall& running)
 {
     crashes.unanswered (SteadyClock().Now(), running.startedAt,
                         mesh::digestOf (identityOf (running.call)));
@@ -76,16 +79,16 @@
 {
     crashCheckArmed = false;
 
-    if (! crashes.wondering() || ! health->mayAsk())
+    if (! crashes.wondering() || ! health->canProbe())
         return;
 
     ++counts.crashQuestions;
     probe();
 }
 
-void LastHop::learnQuestionCut()
+void LastHop::recordLostProbe()
 {
-    // An instance that leaves ends as planned.
+    // An instance that is leaving is expected to end.
     if (instance.leaving())
         return;
 
@@ -102,15 +105,15 @@
         armCrashCheck();
 }
 
-void LastHop::learnAlive (Timestamp sentAt)
+void LastHop::recordAlive (Timestamp sentAt)
 {
     reportCrash();
     crashes.answered (SteadyClock().Now(), sentAt);
 }
 
-void LastHop::learnGone (Timestamp now)
+void LastHop::recordRefusedConnection (Timestamp now)
 {
-    // An instance that leaves ends as planned.
+    // An instance that is leaving is expected to end.
     if (instance.leaving())
         return;
 
--- a/src/sidecar/instance/last_hop_forecast.cc
+++ b/src/sidecar/instance/last_hop_forecast.cc
@@ -1,4 +1,6 @@
-/** How the last hop would take a request that came now, for those who ask before they send. */
+/** The part of the last hop that answers load queries: it predicts what would happen to a request
+    that arrived now.
+*/
 #include <algorithm>
 #include <limits>
 
@@ -13,8 +15,9 @@
 
 using mesh::HopCause;
 
-constexpr double sizeLearningRate = 0.1;
-constexpr std::uint64_t newestId = std::numeric_limits<std::uint64_t>::max(); // Behind its equals.
+constexpr double sizeAveragingWeight = 0.1;
+// Sorts behind all other requests of the same rank.
+constexpr std::uint64_t maxRequestId = std::numeric_limits<std::uint64_t>::max();
 
 } // namespace
 
@@ -29,16 +32,16 @@
     return answerMs (found->second);
 }
 
-void LastHop::learnSize (const std::string& route, std::size_t bytes)
+void LastHop::updateAnswerSize (const std::string& route, std::size_t bytes)
 {
     const auto size = static_cast<double> (bytes);
 
-    // Of routes whose answers are small there is nothing to remember.
+    // Routes whose answers have always been small need no entry.
     if (bytes < mesh::largeAnswerBytes && ! answerBytes.contains (route))
         return;
 
-    auto& usual = answerBytes.try_emplace (route, size).first->second;
-    usual += sizeLearningRate * (size - usual);
+    auto& average = answerBytes.try_emplace (route, size).first->second;
+    average += sizeAveragingWeight * (size - average);
 }
 
 mesh::LoadReply LastHop::forecast (const mesh::LoadQuery& query, bool overLink) const
@@ -61,15 +64,15 @@
 
     const auto transfer = transferMs (query.route, overLink);
     const auto sendBy = now - mesh::fromMilliseconds (transfer);
-    const auto deadline = std::min<Timestamp> (sendBy + query.timeLeft, endsAt);
+    const auto deadline = std::min<Timestamp> (sendBy + query.timeLeft, runDeadline);
     const auto expected =
-        queue.forecast (now, { newestId, query.route, query.priority, sendBy + query.targetLeft,
+        queue.forecast (now, { maxRequestId, query.route, query.priority, sendBy + query.targetLeft,
                                deadline, query.usualRunMs });
     reply.decision = expected.decision;
     reply.expectedMs = expected.expectedMs + transfer;
 
     if (reply.decision == mesh::AdmissionDecision::refuse)
-        reply.cause = fullCause (now);
+        reply.cause = queueRefusalCause (now);
 
     return reply;
 }
--- a/src/sidecar/instance/last_hop_instance.cc
+++ b/src/sidecar/instance/last_hop_instance.cc
@@ -1,5 +1,5 @@
-/** What the last hop learns of its instance: which one it is, whether it can be reached, fails, is
-    cold or may get anything at all.
+/** The part of the last hop that follows the state of its instance: its identity, and whether it is
+    reachable, failing, cold or closed to requests.
 */
 #include <algorithm>
 
@@ -18,12 +18,13 @@
 using mesh::nameOf;
 using mesh::toMilliseconds;
 
-constexpr int serverFailure = 500, gatewayTimeout = 504; // Statuses of HTTP.
-constexpr double failingShare = 0.3; // Worth a line: several of the latest runs, not one alone.
+constexpr int serverFailure = 500, gatewayTimeout = 504; // HTTP status codes.
+// A larger share of failures is logged. A single failure among the latest runs doesn't reach it.
+constexpr double failingShare = 0.3;
 
 } // namespace
 
-void LastHop::learn (const CallResult& result)
+void LastHop::updateInstance (const CallResult& result)
 {
     const auto now = SteadyClock().Now();
     const auto before = instance.id();
@@ -32,7 +33,7 @@
     if (result.end != CallEnd::answered && result.end != CallEnd::broken)
     {
         if (result.refused)
-            learnGone (now);
+            recordRefusedConnection (now);
 
         if (instance.failed (now, result.end == CallEnd::notConnected))
         {
@@ -49,19 +50,20 @@
         log->write (now, EventKind::instanceRegained,
                     { { "instance", before }, { "after_ms", toMilliseconds (lostFor) } });
 
-    const auto spoken = onlyValue (result.head.fields, settings.names.instanceId);
+    const auto reportedId = onlyValue (result.head.fields, settings.names.instanceId);
 
     if (result.end != CallEnd::answered)
         return;
 
-    // The first word of another incarnation says that the former is gone, not that it lives.
-    if (instance.heard (std::string (spoken)))
-        takeIdentity (now, mesh::IdentitySource::spoken, before);
+    // The first answer of another incarnation shows that the previous one is gone, not that it is
+    // alive.
+    if (instance.heard (std::string (reportedId)))
+        adoptIdentity (now, mesh::IdentitySource::spoken, before);
     else
-        learnAlive (now - result.took);
+        recordAlive (now - result.took);
 }
 
-void LastHop::takeIdentity (Timestamp now, mesh::IdentitySource by, const std::string& before)
+void LastHop::adoptIdentity (Timestamp now, mesh::IdentitySource by, const std::string& before)
 {
     log->write (now, EventKind::identityLearned,
                 { { "instance", instance.id() },
@@ -74,9 +76,10 @@
     reportCrash();
     crashes.restarted (now);
 
-    // What was sent by the former's name is turned away by this one, unless it has the same. When
-    // there was no former one, this process has just started, and its forerunner may have sent
-    // something.
+    // An instance rejects requests that name its predecessor as the expected instance, so earlier
+    // starts no longer count, unless both have the same id. Without a known predecessor this
+    // process has just started, and earlier starts still count, since the previous process may have
+    // sent requests.
     if (! before.empty() && before != instance.id())
         queue.startWindow().forget();
 
@@ -88,17 +91,17 @@
 void LastHop::presumeCold (Timestamp now, std::string_view cause)
 {
     coldStart.presumeCold (now);
-    followColdStart (now, cause);
+    applyColdState (now, cause);
 }
 
-void LastHop::followColdStart (Timestamp now, std::string_view cause)
+void LastHop::applyColdState (Timestamp now, std::string_view cause)
 {
     auto& window = queue.startWindow();
-    const bool wasBound = window.binds (now);
+    const bool wasCold = window.binds (now);
     window.bindUntil (coldStart.until());
 
-    if (window.binds (now) != wasBound)
-        log->write (now, wasBound ? EventKind::instanceWarm : EventKind::instanceCold,
+    if (window.binds (now) != wasCold)
+        log->write (now, wasCold ? EventKind::instanceWarm : EventKind::instanceCold,
                     { { "instance", instance.id() },
                       { "cause", cause },
                       { "for_ms", std::max (coldMs (now), 0.0) },
@@ -122,8 +125,8 @@
         window.assumeStarted (createdAt,
                               mesh::unknownColdStarts (service.cold, settings.coldBounds));
 
-    followColdStart (now, "configuration");
-    askWhetherCold (now);
+    applyColdState (now, "configuration");
+    probeIfColdUnknown (now);
 }
 
 void LastHop::setEvacuated (Timestamp now, bool isEvacuated)
@@ -136,21 +139,22 @@
     if (evacuated)
         refuseAll (queue.clear(), HopCause::zoneEvacuated);
     else
-        presumeCold (now, "zone_returned"); // Its instances may have gone cold meanwhile.
+        presumeCold (now, "zone_returned"); // The zone's instances may have become cold meanwhile.
 }
 
-void LastHop::askWhetherCold (Timestamp now)
+void LastHop::probeIfColdUnknown (Timestamp now)
 {
-    if (! health->mayAsk() || ! instance.known() || ! coldStart.wantsAnswer (now))
+    if (! health->canProbe() || ! instance.known() || ! coldStart.wantsAnswer (now))
         return;
 
     ++counts.coldQuestions;
     probe();
 }
 
-void LastHop::learnFailure (HopOutcome outcome, const CallResult& result)
+void LastHop::recordFailure (HopOutcome outcome, const CallResult& result)
 {
-    // One that says that it didn't run has not failed; at a deadline the request's time was short.
+    // A request that didn't run is no failure, and a time-out at the deadline only shows that the
+    // request had too little time.
     if (outcome == HopOutcome::rejected || outcome == HopOutcome::notRun ||
         (outcome == HopOutcome::ran && result.head.status == gatewayTimeout))
         return;
@@ -185,15 +189,15 @@
 
     if (instance.takeEntry (listed))
     {
-        takeIdentity (now, mesh::IdentitySource::entry, before);
+        adoptIdentity (now, mesh::IdentitySource::entry, before);
         client->dropIdle (settings.instanceAddress);
     }
 
     if (listed != nullptr && listed->instance.id == instance.id())
         coldStart.listed (listed->changedAt, listed->instance.coldFor);
 
-    followColdStart (now, "entry");
-    askWhetherCold (now);
+    applyColdState (now, "entry");
+    probeIfColdUnknown (now);
     setEvacuated (now, directory.evacuatedZones.contains (settings.zone));
     queue.setLimit (instance.slots() + settings.extraSlots);
 
@@ -211,46 +215,46 @@
 
 void LastHop::tick (Timestamp now)
 {
-    if (health->mayAsk() && instance.wantsProbe (now))
+    if (health->canProbe() && instance.wantsProbe (now))
     {
         instance.probed (now);
         probe();
     }
 
-    askWhetherCold (now);
+    probeIfColdUnknown (now);
 }
 
 void LastHop::probe()
 {
     coldStart.asked (SteadyClock().Now());
-    health->ask (
+    health->probe (
         [weak = weak_from_this()] (const HealthAnswer& answer)
         {
             if (const auto self = weak.lock())
-                self->onProbed (answer);
+                self->onProbeAnswer (answer);
         });
 }
 
-void LastHop::onProbed (const HealthAnswer& answer)
+void LastHop::onProbeAnswer (const HealthAnswer& answer)
 {
     const auto now = SteadyClock().Now();
     const auto before = instance.id();
-    learn (answer.call);
+    updateInstance (answer.call);
 
     if (answer.call.end == CallEnd::connectionLost)
-        learnQuestionCut();
+        recordLostProbe();
 
-    // The answer of an instance that is another than was thought says nothing of the one meant.
+    // An answer from another instance than the expected one says nothing about the expected one.
     if (answer.call.end != CallEnd::answered || answer.instanceId != instance.id())
         return;
 
-    // One that names itself by this answer was asked by it, too.
+    // If this answer revealed the instance's id, the probe counts as a probe of that instance.
     if (instance.id() != before)
         coldStart.asked (now);
 
     coldStart.answered (now, answer.coldFor);
-    followColdStart (now, "answer");
-    askWhetherCold (now);
+    applyColdState (now, "answer");
+    probeIfColdUnknown (now);
     pump();
 }
 
--- a/tests/sidecar/instance/instance_answer_test.cc
+++ b/tests/sidecar/instance/instance_answer_test.cc
@@ -40,7 +40,7 @@
     expectVerdict (answered (500, {}), HopOutcome::ran, HopCause::none);
 }
 
-TEST (InstanceAnswer, ASuccessThatIsUnsignedTwiceSignedOrEncodedIsNotBelieved)
+TEST (InstanceAnswer, AnUnsignedTwiceSignedOrEncodedSuccessIsBroken)
 {
     for (const auto& fields :
          { HeaderFields{}, HeaderFields{ { "X-Seal", "a" }, { "X-Seal", "b" } },
@@ -56,7 +56,7 @@
                    HopCause::otherInstance);
 }
 
-TEST (InstanceAnswer, OnlyWhatWasNeverSentHasSurelyNotRun)
+TEST (InstanceAnswer, OnlyARequestThatWasNeverSentHasCertainlyNotRun)
 {
     CallResult result;
     result.end = CallEnd::notConnected;
--- a/tests/sidecar/instance/last_hop_test.cc
+++ b/tests/sidecar/instance/last_hop_test.cc
@@ -14,7 +14,7 @@
 namespace
 {
 
-/** A last hop beside an instance that answers each request with its id. */
+/** A last hop beside an instance that answers each request and repeats its request id. */
 class LastHopTest : public ::testing::Test
 {
 protected:
@@ -29,13 +29,13 @@
                                    "Content-Length: 2\r\n\r\nok");
               })
     {
-        useInstance (instance.address());
+        createHop (instance.address());
     }
 
     ~LastHopTest() override { reactor->Stop(); }
 
-    /** Makes the hop anew, beside the instance at an address. */
-    void useInstance (const SocketAddress& address)
+    /** Creates the hop, or replaces it, for the instance at an address. */
+    void createHop (const SocketAddress& address)
     {
         LastHopSettings settings;
         settings.names.requestId = "X-Id";
@@ -81,7 +81,7 @@
     std::atomic<int> status{ -1 };
 };
 
-TEST_F (LastHopTest, AnAnswerComesBack)
+TEST_F (LastHopTest, ReturnsTheAnswerOfTheInstance)
 {
     start (false);
     EXPECT_TRUE (Eventually ([&] { return status == 200; }));
@@ -93,7 +93,7 @@
     std::this_thread::sleep_for (std::chrono::milliseconds (100));
     EXPECT_EQ (instance.connections(), 0);
     EXPECT_EQ (status, -1);
-    // It holds no slot either: the only one serves the next.
+    // The abandoned request doesn't hold the only slot either, so the next request is served.
     start (false);
     EXPECT_TRUE (Eventually ([&] { return status == 200; }));
 }
@@ -107,14 +107,14 @@
     EXPECT_EQ (reactor.use_count(), 1);
 }
 
-/** A last hop beside an instance that ends under its first request and is back at once under
-   another id, which turns away whatever was meant for the former.
+/** A last hop beside an instance that ends during its first request and restarts at once with
+    another id. The new one rejects requests that are addressed to the previous one.
 */
 class RestartedInstanceTest : public LastHopTest
 {
 protected:
     RestartedInstanceTest()
-        : ended (
+        : restartingInstance (
               [this] (RawSocket& socket, int)
               {
                   for (auto request = socket.Read(); ! request.head.empty();
@@ -128,14 +128,14 @@
                   }
               })
     {
-        useInstance (ended.address());
+        createHop (restartingInstance.address());
     }
 
     std::atomic<int> requests{ 0 };
-    RawServer ended;
+    RawServer restartingInstance;
 };
 
-TEST_F (RestartedInstanceTest, TheFirstWordOfTheNextIncarnationTellsOfTheCrash)
+TEST_F (RestartedInstanceTest, TheFirstAnswerOfTheNextIncarnationRevealsTheCrash)
 {
     start (false);
     ASSERT_TRUE (Eventually ([&] { return status == 0; }));
@@ -150,14 +150,16 @@
         }));
 }
 
-/** A last hop beside an instance that says on health answers for how long it stays cold. */
+/** A last hop beside an instance that reports in its health answers for how long it stays cold. */
 class ColdInstanceTest : public ::testing::Test
 {
 protected:
-    static constexpr double rate = 5; // It bears, and falls over at twice that.
-    static constexpr int most = 9;    // In a second: 0.95 of twice the rate.
-    static constexpr int atOnce = 1;  // Of a node that doesn't know what its forerunner sent.
-    static constexpr int storm = 30;
+    /** Requests per second that the cold instance tolerates. It fails at twice this rate. */
+    static constexpr double toleratedRate = 5;
+
+    static constexpr int maxStartsPerSecond = 9; // 0.95 of twice the tolerated rate.
+    static constexpr int initialStarts = 1; // While it is unknown what the previous process sent.
+    static constexpr int manyRequests = 30;
 
     ColdInstanceTest()
         : reactor (Resolve ([] { return Reactor::Start(); }).value())
@@ -188,7 +190,7 @@
         for (auto request = socket.Read(); ! request.head.empty(); request = socket.Read())
         {
             const bool isHealth = request.head.find ("GET /health") == 0;
-            ++(isHealth ? questions : runs);
+            ++(isHealth ? probes : runs);
             socket.Send ("HTTP/1.1 200 OK\r\nX-Id: q\r\nX-Signature: s\r\n" +
                          (isHealth ? healthFields() : std::string()) +
                          "Content-Length: 2\r\n\r\nok");
@@ -201,7 +203,7 @@
         return coldMs == 0 ? name : name + "X-Cold: " + std::to_string (coldMs) + "\r\n";
     }
 
-    /** Of the reactor's thread. */
+    /** Has to be called on the reactor's thread. */
     void list (const std::string& id, const std::set<std::string>& evacuated = {})
     {
         mesh::Instance listed;
@@ -219,7 +221,8 @@
     {
         reactor->RunAndWait (
             [&] {
-                hop->setServiceSettings ({ "/health", 100, { Milliseconds (3000), rate } });
+                hop->setServiceSettings (
+                    { "/health", 100, { Milliseconds (3000), toleratedRate } });
             });
     }
 
@@ -230,7 +233,7 @@
         return left;
     }
 
-    /** The instance says that it is warm, and that has been heard. */
+    /** Configures the hop and waits until it has received that the instance is warm. */
     void configureWarm()
     {
         coldMs = 0;
@@ -238,7 +241,7 @@
         ASSERT_TRUE (Eventually ([&] { return coldMsNow() <= 0; }));
     }
 
-    /** Hands over `count` requests whose clients wait for `wait`. */
+    /** Starts `count` requests whose clients wait for `wait`. */
     void start (int count, Milliseconds wait)
     {
         reactor->RunAndWait (
@@ -267,9 +270,9 @@
             cause = report.cause;
     }
 
-    static constexpr int unreadable = -1; // No time that can be meant.
+    static constexpr int implausible = -1; // Not a valid time, so the hop can't use it.
 
-    std::atomic<int> coldMs{ unreadable }, incarnation{ 1 }, questions{ 0 }, runs{ 0 };
+    std::atomic<int> coldMs{ implausible }, incarnation{ 1 }, probes{ 0 }, runs{ 0 };
     std::atomic<int> served{ 0 }, refused{ 0 };
     std::atomic<mesh::HopCause> cause{ mesh::HopCause::none };
     std::shared_ptr<Reactor> reactor;
@@ -279,36 +282,36 @@
     std::shared_ptr<LastHop> hop;
 };
 
-TEST_F (ColdInstanceTest, AnInstanceThatIsNotKnownToBeWarmGetsNoMoreThanItBears)
+TEST_F (ColdInstanceTest, AnInstanceNotKnownToBeWarmGetsNoMoreThanItTolerates)
 {
     configure();
-    start (storm, Milliseconds (600));
-    EXPECT_TRUE (Eventually ([&] { return served + refused == storm; }));
-    EXPECT_EQ (runs, atOnce);
-    EXPECT_EQ (served, atOnce);
+    start (manyRequests, Milliseconds (600));
+    EXPECT_TRUE (Eventually ([&] { return served + refused == manyRequests; }));
+    EXPECT_EQ (runs, initialStarts);
+    EXPECT_EQ (served, initialStarts);
     EXPECT_EQ (cause, mesh::HopCause::instanceCold) << "and said so at once";
 }
 
-TEST_F (ColdInstanceTest, WhatItDoesNotBearInOneSecondItGetsInTheNext)
+TEST_F (ColdInstanceTest, RequestsBeyondTheLimitOfOneSecondStartLater)
 {
     configure();
-    start (most, Milliseconds (2500));
-    EXPECT_TRUE (Eventually ([&] { return runs == atOnce; }));
+    start (maxStartsPerSecond, Milliseconds (2500));
+    EXPECT_TRUE (Eventually ([&] { return runs == initialStarts; }));
     std::this_thread::sleep_for (std::chrono::milliseconds (300));
-    EXPECT_EQ (runs, atOnce);
-    EXPECT_TRUE (Eventually ([&] { return served == most; }));
+    EXPECT_EQ (runs, initialStarts);
+    EXPECT_TRUE (Eventually ([&] { return served == maxStartsPerSecond; }));
     EXPECT_EQ (refused, 0);
 }
 
-TEST_F (ColdInstanceTest, OneThatSaysThatItIsWarmGetsEverything)
+TEST_F (ColdInstanceTest, AnInstanceThatReportsToBeWarmGetsAllRequests)
 {
     configureWarm();
-    start (storm, Milliseconds (600));
-    EXPECT_TRUE (Eventually ([&] { return served == storm; }));
-    EXPECT_EQ (questions, 1);
+    start (manyRequests, Milliseconds (600));
+    EXPECT_TRUE (Eventually ([&] { return served == manyRequests; }));
+    EXPECT_EQ (probes, 1);
 }
 
-TEST_F (ColdInstanceTest, ItIsColdAgainWhenItsZoneReturnsAndUntilItSaysOtherwise)
+TEST_F (ColdInstanceTest, AnInstanceIsColdAfterAnEvacuationUntilItReportsOtherwise)
 {
     configureWarm();
     reactor->RunAndWait ([&] { list ("i-1", { "z1" }); });
@@ -316,11 +319,11 @@
     EXPECT_EQ (refused, 1);
     EXPECT_EQ (cause, mesh::HopCause::zoneEvacuated);
 
-    coldMs = unreadable;
+    coldMs = implausible;
     reactor->RunAndWait ([&] { list ("i-1"); });
-    start (storm, Milliseconds (600));
-    EXPECT_TRUE (Eventually ([&] { return served + refused == storm + 1; }));
-    EXPECT_EQ (served, atOnce);
+    start (manyRequests, Milliseconds (600));
+    EXPECT_TRUE (Eventually ([&] { return served + refused == manyRequests + 1; }));
+    EXPECT_EQ (served, initialStarts);
 }
 
 TEST_F (ColdInstanceTest, ANewInstanceAtTheAddressIsCold)
@@ -329,10 +332,10 @@
     coldMs = 5000;
     incarnation = 2;
     reactor->RunAndWait ([&] { list ("i-2"); });
-    start (storm, Milliseconds (600));
-    EXPECT_TRUE (Eventually ([&] { return served + refused == storm; }));
-    EXPECT_EQ (served, most);
-    EXPECT_GT (coldMsNow(), 3500) << "its own word, not the configuration's";
+    start (manyRequests, Milliseconds (600));
+    EXPECT_TRUE (Eventually ([&] { return served + refused == manyRequests; }));
+    EXPECT_EQ (served, maxStartsPerSecond);
+    EXPECT_GT (coldMsNow(), 3500) << "the time that the instance reported, not the configured one";
 }
 
 } // namespace
