--- a/src/distribution/agent_implementation.cc
+++ b/src/distribution/agent_implementation.cc
@@ -36,7 +36,7 @@
 std::uint64_t Salted(std::uint64_t seed, SeedSalt salt) { return seed * kSeedsPerNode + salt; }
 
 TransferDecoder& DecoderOf(const AgentSettings& settings) {
-  return settings.decoder ? *settings.decoder : TransferDecoder::Plain();
+  return settings.decoder ? *settings.decoder : TransferDecoder::Uncached();
 }
 
 DocumentVersion LaterOf(const DocumentVersion& left, const DocumentVersion& right) {
@@ -68,7 +68,7 @@
       machine_repairer_(settings_, membership_, view_, machines_, outbox_,
                         Salted(seed, kMachineRepairSeed)),
       poller_(settings_, contacts.size(), Salted(seed, kPollerSeed), now),
-      admission_(settings_.whole_transfers_per_second),
+      whole_transfer_limiter_(settings_.whole_transfers_per_second),
       gate_(settings_.join_wait, settings_.join_quorum),
       deadline_(now) {
   membership_.AddContacts(contacts);
@@ -151,7 +151,7 @@
     configuration_repairer_.Seek(now);
   }
   situation.role_allowed = !gate_.waiting();
-  situation.heard_fleet = gate_.heard_fleet();
+  situation.has_peer_contact = gate_.has_peer_contact();
   situation.peer_ahead = configuration_repairer_.wanted();
   situation.has_machines = !machines_.running().none();
   // A node that starts goes by its view alone: it has seen no other.
@@ -249,7 +249,7 @@
 
 // The list named nodes while nobody had been heard: they are asked before anything is activated.
 void Agent::Implementation::RejoinForSeeds(Timestamp now) {
-  const bool pointless = gate_.heard_fleet() || !configuration_.running().none();
+  const bool pointless = gate_.has_peer_contact() || !configuration_.running().none();
   if (pointless || rejoined_for_seeds_) return;
   rejoined_for_seeds_ = true;
   BeginJoin(now);
--- a/src/distribution/agent_implementation.h
+++ b/src/distribution/agent_implementation.h
@@ -40,7 +40,7 @@
   Repairer configuration_repairer_;
   Repairer machine_repairer_;
   SourcePoller poller_;
-  Admission admission_;
+  TransferRateLimiter whole_transfer_limiter_;
   JoinGate gate_;
   Timestamp deadline_;  // The last one given out.
   bool started_ = false;
@@ -67,7 +67,7 @@
   void OnBody(Timestamp /*now*/, const MemberRecord& /*sender*/, const Other& /*body*/) {}
 
   void AskForReadable(Timestamp now, const MemberRecord& sender, const Transfer& transfer,
-                      Receipt receipt);
+                      ReceiveResult result);
   bool MayStartInZone(Timestamp now);
   void HandOn(Timestamp now, const MemberRecord& sender, const Push& push, bool taken);
 
--- a/src/distribution/agent_messages.cc
+++ b/src/distribution/agent_messages.cc
@@ -21,7 +21,7 @@
   outbox_.Send(membership_.Handle(now, event.from, message));
   MemberRecord sender = message.sender.record;
   if (sender.id == membership_.self().id) return;
-  gate_.HearMessage();
+  gate_.RecordMessage();
   HearSummary(now, message.sender);
   std::visit([&](const auto& body) { OnBody(now, sender, body); }, message.body);
 }
@@ -40,7 +40,7 @@
 
 void Agent::Implementation::OnBody(Timestamp /*now*/, const MemberRecord& sender,
                                    const JoinReply& reply) {
-  gate_.HearReply(sender.id);
+  gate_.RecordReply(sender.id);
   configuration_.ledger().RaiseFloor(reply.remembered);
   configuration_.ledger().RaiseFloor(membership_.HighestHeard());
 }
@@ -48,14 +48,14 @@
 void Agent::Implementation::OnBody(Timestamp now, const MemberRecord& sender, const Push& push) {
   const StreamKind kind = push.transfer.stream;
   DocumentStream& stream = StreamOf(kind);
-  const Receipt receipt = stream.Receive(now, push.transfer, sender.id);
-  if (receipt == Receipt::kUnknownBase || receipt == Receipt::kUnreadable) {
-    AskForReadable(now, sender, push.transfer, receipt);
+  const ReceiveResult result = stream.Receive(now, push.transfer, sender.id);
+  if (result == ReceiveResult::kUnknownBase || result == ReceiveResult::kUndecodable) {
+    AskForReadable(now, sender, push.transfer, result);
     return;
   }
   EtagOf(kind).Learn(push.transfer.version, push.source_tag);
   RepairerOf(kind).HearAnswer(sender.id);
-  const bool taken = receipt == Receipt::kTaken;
+  const bool taken = result == ReceiveResult::kTaken;
   if (taken && kind == StreamKind::kMachines) SeedMembership(now);
   const bool settled = !IsNewer(push.transfer.version, stream.running());
   if (settled) outbox_.Send(sender.address, PushAck{kind, stream.running()});
@@ -63,13 +63,13 @@
 }
 
 void Agent::Implementation::AskForReadable(Timestamp now, const MemberRecord& sender,
-                                           const Transfer& transfer, Receipt receipt) {
+                                           const Transfer& transfer, ReceiveResult result) {
   Repairer& repairer = RepairerOf(transfer.stream);
   if (transfer.whole()) {
     repairer.HearUnreadable(now);
     return;
   }
-  const bool lacks_base = receipt == Receipt::kUnknownBase;
+  const bool lacks_base = result == ReceiveResult::kUnknownBase;
   const DocumentVersion have = lacks_base ? StreamOf(transfer.stream).running() : DocumentVersion{};
   repairer.PullFrom(now, sender, transfer.version, have);
 }
@@ -108,8 +108,8 @@
   if (!Supersedes(stream.running(), pull.have)) return;
   if (PusherOf(pull.stream).RepeatFrom(now, sender.id, pull.have)) return;
   Transfer transfer = stream.TransferFrom(pull.have);
-  if (transfer.whole() && !admission_.Admit(now)) {
-    const auto wait = std::chrono::ceil<Milliseconds>(admission_.Promise(now));
+  if (transfer.whole() && !whole_transfer_limiter_.TryAdmit(now)) {
+    const auto wait = std::chrono::ceil<Milliseconds>(whole_transfer_limiter_.RetryDelay(now));
     outbox_.Send(sender.address, Busy{pull.stream, static_cast<std::uint32_t>(wait.count())});
     return;
   }
--- a/src/distribution/configuration_stream.cc
+++ b/src/distribution/configuration_stream.cc
@@ -42,23 +42,23 @@
   return std::find(refused_.begin(), refused_.end(), version) != refused_.end();
 }
 
-Receipt ConfigurationStream::Receive(Timestamp now, const Transfer& transfer,
-                                     const std::string& origin) {
-  if (WasJudged(transfer.version)) return Receipt::kNotTaken;
+ReceiveResult ConfigurationStream::Receive(Timestamp now, const Transfer& transfer,
+                                           const std::string& origin) {
+  if (WasJudged(transfer.version)) return ReceiveResult::kNotTaken;
   const Bundle* base = transfer.whole() ? nullptr : store_.Find(transfer.base);
   if (!transfer.whole() && base == nullptr) {
-    return Wants(transfer.version) ? Receipt::kUnknownBase : Receipt::kNotTaken;
+    return Wants(transfer.version) ? ReceiveResult::kUnknownBase : ReceiveResult::kNotTaken;
   }
   const auto decoded = Resolve([&] { return decoder_.Configuration(transfer, base); });
   if (!decoded) {
     outbox_.ReportOnce(decoded.error().kind, origin, decoded.error().cause);
-    return Receipt::kUnreadable;
+    return ReceiveResult::kUndecodable;
   }
   const DecodedBundle& received = decoded.value();
   const VersionVerdict verdict = OfferBundle(now, origin, received.bundle, received.faulty);
-  if (verdict != VersionVerdict::kTaken) return Receipt::kNotTaken;
-  store_.Remember(transfer);
-  return Receipt::kTaken;
+  if (verdict != VersionVerdict::kTaken) return ReceiveResult::kNotTaken;
+  store_.CacheTransfer(transfer);
+  return ReceiveResult::kTaken;
 }
 
 VersionVerdict ConfigurationStream::OfferBundle(Timestamp now, const std::string& origin,
@@ -77,7 +77,7 @@
     ReportVerdict(verdict, origin, *bundle);
     return verdict;
   }
-  store_.Run(bundle);
+  store_.SetRunning(bundle);
   outbox_.Add(ActivateBundle{bundle});
   return verdict;
 }
--- a/src/distribution/configuration_stream.h
+++ b/src/distribution/configuration_stream.h
@@ -29,7 +29,7 @@
 class ConfigurationStream : public DocumentStream {
  public:
   ConfigurationStream(const LedgerFaults& faults, std::size_t history_size, Outbox& outbox,
-                      TransferDecoder& decoder = TransferDecoder::Plain())
+                      TransferDecoder& decoder = TransferDecoder::Uncached())
       : outbox_(outbox), decoder_(decoder), ledger_(faults), store_(history_size) {}
 
   StreamKind kind() const override { return StreamKind::kConfiguration; }
@@ -40,7 +40,8 @@
   bool Holds(const DocumentVersion& version) const override {
     return store_.Find(version) != nullptr;
   }
-  Receipt Receive(Timestamp now, const Transfer& transfer, const std::string& origin) override;
+  ReceiveResult Receive(Timestamp now, const Transfer& transfer,
+                        const std::string& origin) override;
 
   // Takes what this node itself read from the source.
   // @param running_when_asked what ran when the source was asked: an answer that was overtaken by
--- a/src/distribution/document_store.h
+++ b/src/distribution/document_store.h
@@ -1,4 +1,5 @@
-// The versions of one document that this node holds in memory, and their bytes ready to send.
+// The versions of one document that this node holds in memory, and the encoded transfers of the
+// running one.
 #pragma once
 
 #include <algorithm>
@@ -18,21 +19,21 @@
  public:
   using Pointer = std::shared_ptr<const Document>;
 
-  // @param history_size versions kept, the running one included; at least 1.
+  // @param history_size number of versions kept, including the running one; raised to 1 if it is 0.
   explicit DocumentStore(std::size_t history_size)
       : history_size_(std::max<std::size_t>(history_size, 1)) {}
 
   const Pointer& running() const { return running_; }
-  // Oldest first; the running one is last.
+  // Versions held, oldest first. The running one is last.
   const std::deque<Pointer>& history() const { return history_; }
   DocumentVersion version() const { return running_ ? running_->version : DocumentVersion{}; }
-  // The version that ran before the running one; none at first.
+  // Version that ran before the current one; none at first.
   DocumentVersion previous() const {
     return history_.size() < 2 ? DocumentVersion{} : history_[history_.size() - 2]->version;
   }
 
-  // Makes a document the running one. Drops the cached transfers, which lead to the old one.
-  void Run(Pointer document) {
+  // Makes a document the running one. Drops the cached transfers, which encode the previous one.
+  void SetRunning(Pointer document) {
     running_ = document;
     history_.push_back(std::move(document));
     if (history_.size() > history_size_) history_.pop_front();
@@ -47,13 +48,14 @@
     return nullptr;
   }
 
-  // Keeps a transfer that was received and verified, to hand on the same bytes.
-  void Remember(const Transfer& transfer) {
+  // Caches a received and verified transfer, so that the same bytes are forwarded.
+  void CacheTransfer(const Transfer& transfer) {
     if (transfer.version == version()) transfers_.emplace(KeyOf(transfer.base), transfer);
   }
 
-  // @param base what the receiver has. @return the running document as the difference to it when
-  // it is held, whole otherwise. Only valid while something runs.
+  // @param base version that the receiver has.
+  // @return the running document as a delta to `base` if this node holds `base`, else whole. Only
+  //         valid while a document runs.
   Transfer TransferFrom(const DocumentVersion& base) {
     const Document* base_document = base.none() ? nullptr : Find(base);
     const DocumentVersion key = base_document == nullptr ? DocumentVersion{} : base;
@@ -74,7 +76,7 @@
   std::size_t history_size_;
   Pointer running_;
   std::deque<Pointer> history_;
-  std::map<Key, Transfer> transfers_;  // To the running version, by base.
+  std::map<Key, Transfer> transfers_;  // Transfers of the running version, by base.
 };
 
 }  // namespace copperlead
--- a/src/distribution/document_stream.h
+++ b/src/distribution/document_stream.h
@@ -1,4 +1,4 @@
-// What spreading a document needs to know of it, whichever document it is.
+// Interface of a replicated document, as push and repair use it.
 #pragma once
 
 #include <string>
@@ -8,12 +8,12 @@
 
 namespace copperlead {
 
-// What became of a transfer that a peer sent.
-enum class Receipt {
-  kTaken,        // It runs now.
-  kNotTaken,     // It decoded, and was held or refused.
-  kUnknownBase,  // A difference to a version that is not here: ask for another.
-  kUnreadable,   // It did not decode, or not to the content it claims.
+// Result of a transfer that a peer sent.
+enum class ReceiveResult {
+  kTaken,        // The document runs now.
+  kNotTaken,     // It was held, refused or not needed.
+  kUnknownBase,  // It is a delta to a version that this node does not hold.
+  kUndecodable,  // It did not decode, or not to the content that it claims.
 };
 
 class DocumentStream {
@@ -21,21 +21,22 @@
   virtual ~DocumentStream() = default;
 
   virtual StreamKind kind() const = 0;
-  // What runs; none at first.
+  // Version that runs; none at first.
   virtual DocumentVersion running() const = 0;
-  // What ran before; none when unknown.
+  // Version that ran before; none when unknown.
   virtual DocumentVersion previous() const = 0;
-  // True when a document of this version would be looked at: it supersedes what runs and what is
-  // held, and was not refused before.
+  // True when a document of this version would be considered: it supersedes the running and the
+  // held version and has not been refused before.
   virtual bool Wants(const DocumentVersion& version) const = 0;
-  // @return the running document as the difference to `base` if that is held, else whole. Only
-  //         while something runs.
+  // @return the running document as a delta to `base` if this node holds `base`, else whole. Only
+  //         valid while a document runs.
   virtual Transfer TransferFrom(const DocumentVersion& base) = 0;
-  // True when the document of this version is held, so that a difference to it can be made.
+  // True when the document of this version is in memory, so that a delta to it can be encoded.
   virtual bool Holds(const DocumentVersion& version) const = 0;
-  // Decodes, checks and judges a transfer.
-  // @param origin id of the sending node.
-  virtual Receipt Receive(Timestamp now, const Transfer& transfer, const std::string& origin) = 0;
+  // Decodes and checks a transfer and decides whether to run its document.
+  // @param origin id of the node that sent it.
+  virtual ReceiveResult Receive(Timestamp now, const Transfer& transfer,
+                                const std::string& origin) = 0;
 };
 
 }  // namespace copperlead
--- a/src/distribution/event.h
+++ b/src/distribution/event.h
@@ -1,4 +1,4 @@
-// What the deciding code is told and what it asks for: the closed lists of events and actions.
+// The inputs and outputs of an Agent: the closed lists of events and actions.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 // --- Events ---
 
-// Time has come to NextDeadline(), or past it.
+// The time of NextDeadline() has been reached or passed.
 struct TimerFired {};
 
 struct MessageReceived {
@@ -29,16 +29,17 @@
   enum class Status { kNew, kNotModified, kFailed };
   StreamKind stream = StreamKind::kConfiguration;
   Status status = Status::kFailed;
-  std::string etag;  // For kNew: the document's; for kNotModified: the one that was sent.
-  std::shared_ptr<const ConfigurationDocument> configuration;  // For kNew, kConfiguration.
-  MachineListPointer machines;                                 // For kNew, kMachines.
-  Error error;                                                 // For kFailed.
+  // ETag of the document for kNew, and the ETag that was sent for kNotModified.
+  std::string etag;
+  std::shared_ptr<const ConfigurationDocument> configuration;  // Set for kNew of kConfiguration.
+  MachineListPointer machines;                                 // Set for kNew of kMachines.
+  Error error;                                                 // Set for kFailed.
 };
 
-// The process was told to stop: leave the fleet in good order.
+// The process was asked to stop: the node announces that it leaves the fleet.
 struct StopRequested {};
 
-// An operator asked for the fleet's state: query the members that may lag.
+// An operator asked for the state of the fleet: the node queries the members that may lag.
 struct StatusRequested {};
 
 using Event =
@@ -51,13 +52,14 @@
   std::shared_ptr<const Message> message;
 };
 
-// Ask the source with this ETag (empty: unconditional). At most one is outstanding per stream.
+// Read a document from the source with this ETag, or unconditionally if it is empty. At most one
+// read per stream is outstanding.
 struct FetchFromSource {
   StreamKind stream = StreamKind::kConfiguration;
   std::string etag;
 };
 
-// Run this bundle from now on. Never of a lower version than the one before.
+// Run this bundle from now on. Its version is never lower than that of the previous one.
 struct ActivateBundle {
   BundlePointer bundle;
 };
@@ -67,7 +69,7 @@
   MachineListPointer machines;
 };
 
-// Something an operator should see in the log, once.
+// A log entry for operators, emitted once.
 struct Report {
   ErrorKind kind = ErrorKind::kInternal;
   std::string place;
--- a/src/distribution/join_gate.h
+++ b/src/distribution/join_gate.h
@@ -1,5 +1,5 @@
-// The bounded wait for peers before a node activates anything: at start and after a pause.
-// Membership asks them, and asks again; this only counts who answered.
+// The bounded wait for peers before a node activates anything, at start and after a pause.
+// Membership sends and repeats the join requests; this class only counts the peers that answered.
 #pragma once
 
 #include <cstddef>
@@ -12,21 +12,21 @@
 
 class JoinGate {
  public:
-  // @param wait the longest wait. @param quorum distinct peers whose answers end it early.
+  // @param wait maximum wait. @param quorum number of distinct peers whose answers end it early.
   JoinGate(Duration wait, std::size_t quorum) : wait_(wait), quorum_(quorum) {}
 
-  // Starts to wait; answers heard before count no more.
+  // Starts to wait. Answers received earlier no longer count.
   void Begin(Timestamp now) {
     waiting_ = true;
     started_ = now;
     answered_.clear();
-    heard_fleet_ = false;
+    has_peer_contact_ = false;
   }
 
-  // Any message of a peer.
-  void HearMessage() { heard_fleet_ = true; }
+  // Call for any message from a peer.
+  void RecordMessage() { has_peer_contact_ = true; }
 
-  void HearReply(const NodeId& from) {
+  void RecordReply(const NodeId& from) {
     if (waiting_) answered_.insert(from);
   }
 
@@ -40,8 +40,8 @@
   }
 
   bool waiting() const { return waiting_; }
-  // True once any peer was heard since Begin.
-  bool heard_fleet() const { return heard_fleet_; }
+  // True once a message from any peer has arrived since Begin.
+  bool has_peer_contact() const { return has_peer_contact_; }
   // True when the last wait ended without any answer.
   bool unverified() const { return unverified_; }
   Timestamp NextDeadline() const { return waiting_ ? started_ + wait_ : Timestamp::max(); }
@@ -51,7 +51,7 @@
   std::size_t quorum_;
   bool waiting_ = false;
   bool unverified_ = false;
-  bool heard_fleet_ = false;
+  bool has_peer_contact_ = false;
   Timestamp started_{};
   std::set<NodeId> answered_;
 };
--- a/src/distribution/machine_stream.cc
+++ b/src/distribution/machine_stream.cc
@@ -8,19 +8,19 @@
   return Supersedes(version, running());
 }
 
-Receipt MachineStream::Receive(Timestamp /*now*/, const Transfer& transfer,
-                               const std::string& origin) {
-  if (!Wants(transfer.version)) return Receipt::kNotTaken;
+ReceiveResult MachineStream::Receive(Timestamp /*now*/, const Transfer& transfer,
+                                     const std::string& origin) {
+  if (!Wants(transfer.version)) return ReceiveResult::kNotTaken;
   const MachineList* base = transfer.whole() ? nullptr : store_.Find(transfer.base);
-  if (!transfer.whole() && base == nullptr) return Receipt::kUnknownBase;
+  if (!transfer.whole() && base == nullptr) return ReceiveResult::kUnknownBase;
   const auto decoded = Resolve([&] { return decoder_.Machines(transfer, base); });
   if (!decoded) {
     outbox_.ReportOnce(decoded.error().kind, origin, decoded.error().cause);
-    return Receipt::kUnreadable;
+    return ReceiveResult::kUndecodable;
   }
-  Run(decoded.value());
-  store_.Remember(transfer);
-  return Receipt::kTaken;
+  Activate(decoded.value());
+  store_.CacheTransfer(transfer);
+  return ReceiveResult::kTaken;
 }
 
 bool MachineStream::ReceiveFromSource(const MachineListPointer& list) {
@@ -28,18 +28,18 @@
   if (!Wants(list->version)) {
     if (IsNewer(running(), list->version)) {
       outbox_.ReportOnce(ErrorKind::kRevisionBehind, "machines",
-                         "the source shows sequence " + ToString(list->version) +
+                         "the source serves sequence " + ToString(list->version) +
                              ", lower than sequence " + ToString(running()) +
-                             " in use; it is ignored until it rises above that");
+                             " in use; the list is ignored until its sequence is higher");
     }
     return false;
   }
-  Run(list);
+  Activate(list);
   return true;
 }
 
-void MachineStream::Run(const MachineListPointer& list) {
-  store_.Run(list);
+void MachineStream::Activate(const MachineListPointer& list) {
+  store_.SetRunning(list);
   outbox_.Add(ActivateMachines{list});
 }
 
--- a/src/distribution/machine_stream.h
+++ b/src/distribution/machine_stream.h
@@ -1,5 +1,6 @@
-// The platform's list of machines as one node sees it. No route depends on its order, so there is
-// no join to wait for: a higher sequence, or more content at the same one, replaces the list.
+// The platform's list of machines as one node sees it. No route depends on the order in which lists
+// arrive, so there is no wait for a join: a list with a higher sequence, or with a higher content
+// value at the same sequence, replaces the current one.
 #pragma once
 
 #include "distribution/document_store.h"
@@ -12,7 +13,7 @@
 class MachineStream : public DocumentStream {
  public:
   MachineStream(std::size_t history_size, Outbox& outbox,
-                TransferDecoder& decoder = TransferDecoder::Plain())
+                TransferDecoder& decoder = TransferDecoder::Uncached())
       : outbox_(outbox), decoder_(decoder), store_(history_size) {}
 
   StreamKind kind() const override { return StreamKind::kMachines; }
@@ -23,15 +24,17 @@
   bool Holds(const DocumentVersion& version) const override {
     return store_.Find(version) != nullptr;
   }
-  Receipt Receive(Timestamp now, const Transfer& transfer, const std::string& origin) override;
+  ReceiveResult Receive(Timestamp now, const Transfer& transfer,
+                        const std::string& origin) override;
 
-  // Takes what this node itself read. @return true when it replaced the running list.
+  // Handles a list that this node read from the source. @return true when it replaced the current
+  // one.
   bool ReceiveFromSource(const MachineListPointer& list);
 
   const MachineListPointer& list() const { return store_.running(); }
 
  private:
-  void Run(const MachineListPointer& list);
+  void Activate(const MachineListPointer& list);
 
   Outbox& outbox_;
   TransferDecoder& decoder_;
--- a/src/distribution/outbox.h
+++ b/src/distribution/outbox.h
@@ -1,5 +1,5 @@
 // Collects the actions of one step. Messages get the sender's summary when the step ends, so that
-// it tells the state after the step.
+// the summary describes the state after the step.
 #pragma once
 
 #include <deque>
@@ -23,18 +23,18 @@
     actions_.emplace_back(std::in_place_type<Typed>, std::move(action));
   }
 
-  // Adds a Report unless the same one was among the last kMaxRememberedReports.
+  // Adds a Report unless an identical one is among the last kMaxRememberedReports.
   void ReportOnce(ErrorKind kind, const std::string& place, const std::string& text);
 
-  // True when a message waits for its summary.
+  // True when a message still lacks its summary.
   bool has_messages() const { return !messages_.empty(); }
-  // Ends the step: stamps the messages and hands out all actions in order.
+  // Ends the step: sets the summary of the messages and returns all actions in order.
   std::vector<Action> Take(const NodeSummary& summary);
   std::vector<Action> Take();
 
  private:
   std::vector<Action> actions_;
-  std::vector<std::shared_ptr<Message>> messages_;  // Those in actions_ that lack a summary.
+  std::vector<std::shared_ptr<Message>> messages_;  // Messages in actions_ without summary.
   std::deque<std::string> reported_;                // Oldest first.
   std::set<std::string> reported_index_;
 };
--- a/src/distribution/profiles.h
+++ b/src/distribution/profiles.h
@@ -1,14 +1,15 @@
-// Settings of the deciding code for the two users, who weigh time and bytes differently.
+// Agent settings for the two deployments, which trade convergence time against control traffic
+// differently.
 #pragma once
 
 #include "distribution/agent.h"
 
 namespace copperlead {
 
-// Convergence time goes first.
+// Favours convergence time.
 AgentSettings AvlakProfile();
 
-// Control bytes go first: slower polls and heartbeats, slower detection.
+// Favours low control traffic: polls, heartbeats and failure detection are slower.
 AgentSettings FerrarisProfile();
 
 }  // namespace copperlead
--- a/src/distribution/random_source.h
+++ b/src/distribution/random_source.h
@@ -1,5 +1,5 @@
-// Seeded random numbers for the deciding code: the same on every platform, unlike the standard
-// distributions.
+// Seeded random numbers for the agent. They are the same on every platform, unlike those of the
+// standard distributions.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace copperlead {
 
-// SplitMix64. Not thread-safe, not for cryptography.
+// SplitMix64. Not thread-safe and not suitable for cryptography.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : state_(seed) {}
--- a/src/distribution/source_poller.cc
+++ b/src/distribution/source_poller.cc
@@ -75,7 +75,7 @@
   std::vector<FetchFromSource> fetches;
   if (!MayRead(now, situation)) return fetches;
   // A node that knows nobody asks who there is before it asks for the configuration.
-  const bool knows_nobody = !situation.heard_fleet && !situation.has_machines;
+  const bool knows_nobody = !situation.has_peer_contact && !situation.has_machines;
   const bool machines_first =
       knows_nobody && !streams_[IndexOf(StreamKind::kMachines)].answered && !everyone;
   for (const StreamKind kind : {StreamKind::kMachines, StreamKind::kConfiguration}) {
@@ -108,7 +108,7 @@
 bool SourcePoller::MayReadFirst(Timestamp now, const PollSituation& situation) const {
   if (situation.peer_ahead && now < started_ + kLongestPeerWait) return false;
   const Duration rank_wait = RankWait(situation.rank);
-  if (!situation.heard_fleet) return now >= isolated_start_ + rank_wait;
+  if (!situation.has_peer_contact) return now >= isolated_start_ + rank_wait;
   if (situation.rank > kMaxFirstReadRank) return false;
   const auto live_count = static_cast<std::int64_t>(situation.live_count);
   const Duration random_wait = std::min(kWaitPerMember * live_count, kLongestRandomWait) *
--- a/src/distribution/source_poller.h
+++ b/src/distribution/source_poller.h
@@ -17,12 +17,12 @@
 
 // What the poller must know of the node at a check.
 struct PollSituation {
-  bool role_allowed = true;   // False while joining after a pause, and when leaving.
-  bool heard_fleet = false;   // Some peer was heard since the start.
-  bool has_document = false;  // A configuration runs.
-  bool peer_ahead = false;    // A peer is known that has what this node lacks.
-  bool has_machines = false;  // A list of machines is in use.
-  std::size_t rank = 0;       // In the own zone.
+  bool role_allowed = true;       // False while joining after a pause, and when leaving.
+  bool has_peer_contact = false;  // Some peer was heard since the start.
+  bool has_document = false;      // A configuration runs.
+  bool peer_ahead = false;        // A peer is known that has what this node lacks.
+  bool has_machines = false;      // A list of machines is in use.
+  std::size_t rank = 0;           // In the own zone.
   std::size_t zone_index = 0;
   std::size_t zone_count = 1;
   std::size_t live_count = 1;  // Members believed alive, this node included.
--- a/src/distribution/transfer_decoder.cc
+++ b/src/distribution/transfer_decoder.cc
@@ -5,7 +5,7 @@
 namespace copperlead {
 namespace {
 
-// The same checks as the reader's, on a table that a peer sent.
+// Applies the checks that a reader applies to a table that a peer sent.
 bool HasFaults(const Table& table) { return !ParseCsv(ToCsv(table)).faults.empty(); }
 
 }  // namespace
@@ -21,7 +21,7 @@
   return DecodeMachines(transfer, base);
 }
 
-TransferDecoder& TransferDecoder::Plain() {
+TransferDecoder& TransferDecoder::Uncached() {
   static TransferDecoder decoder;
   return decoder;
 }
--- a/src/distribution/transfer_decoder.h
+++ b/src/distribution/transfer_decoder.h
@@ -1,4 +1,4 @@
-// Turns transfers that peers sent into checked documents.
+// Decodes transfers from peers into checked documents.
 //
 // A daemon decodes each transfer itself. The simulator gives all its agents one decoder that
 // decodes each version once and shares the immutable result.
@@ -13,7 +13,7 @@
 // A configuration rebuilt from a transfer, its digest checked.
 struct DecodedBundle {
   BundlePointer bundle;
-  bool faulty = false;  // The table does not pass the checks that the reader makes.
+  bool faulty = false;  // The table fails the checks that a reader applies.
 };
 
 // Used by one agent at a time.
@@ -21,12 +21,12 @@
  public:
   virtual ~TransferDecoder() = default;
 
-  // Errors as DecodeBundle and DecodeMachines of snapshot/transfer.h.
+  // The errors are those of DecodeBundle and DecodeMachines in snapshot/transfer.h.
   virtual Result<DecodedBundle> Configuration(const Transfer& transfer, const Bundle* base);
   virtual Result<MachineListPointer> Machines(const Transfer& transfer, const MachineList* base);
 
-  // The decoder that keeps nothing; any thread.
-  static TransferDecoder& Plain();
+  // The decoder without a cache; usable from any thread.
+  static TransferDecoder& Uncached();
 };
 
 }  // namespace copperlead
--- a/src/distribution/version_order.h
+++ b/src/distribution/version_order.h
@@ -1,12 +1,13 @@
-// The order in which documents replace each other, beyond IsNewer.
+// The order in which documents replace each other. It extends IsNewer by a rule for conflicts.
 #pragma once
 
 #include "snapshot/version.h"
 
 namespace copperlead {
 
-// True when `left` replaces `right` in both streams if their rules allow it: it is newer, or has
-// the same place in the order and the higher content value (so that all nodes choose alike).
+// True when `left` may replace `right` in both streams, subject to their own rules: it is newer, or
+// it has the same place in the order and a higher content value. The content value makes all nodes
+// choose the same document.
 inline bool Supersedes(const DocumentVersion& left, const DocumentVersion& right) {
   if (IsNewer(left, right)) return true;
   return IsConflict(left, right) && left.content > right.content;
--- a/tests/distribution/source_poller_test.cc
+++ b/tests/distribution/source_poller_test.cc
@@ -15,7 +15,7 @@
   AgentSettings settings;
   SourcePoller poller(settings, 1, 1, kStart - std::chrono::seconds(100));
   PollSituation situation;
-  situation.heard_fleet = true;
+  situation.has_peer_contact = true;
   situation.has_document = true;
   situation.zone_index = zone_index;
   situation.zone_count = 5;
