--- a/src/distribution/admission.h
+++ b/src/distribution/admission.h
@@ -24,9 +24,8 @@
     return true;
   }
 
-  // @return how long a refused peer should wait before it retries. Each call hands out a slot of
-  // its
-  //         own, at most kMaxRetryDelay away.
+  // @return how long a refused peer should wait before it retries. Each call hands out another
+  //         slot, at most kMaxRetryDelay away.
   Duration RetryDelay(Timestamp now) {
     latest_retry_slot_ = std::max(latest_retry_slot_, next_slot_) + gap_;
     latest_retry_slot_ = std::min(latest_retry_slot_, now + kMaxRetryDelay);
--- a/src/distribution/agent_implementation.cc
+++ b/src/distribution/agent_implementation.cc
@@ -138,7 +138,7 @@
 void Agent::Implementation::UpdateGate(Timestamp now) {
   if (!gate_.Update(now)) return;
   configuration_.ledger().SetJoining(false);
-  const SourceFinding finding = configuration_.OfferHeld(now);
+  const SourceFinding finding = configuration_.OfferHeldAgain(now);
   if (finding == SourceFinding::kTaken) SpreadFromSource(now, configuration_pusher_);
 }
 
--- a/src/distribution/configuration_stream.cc
+++ b/src/distribution/configuration_stream.cc
@@ -9,7 +9,7 @@
 namespace copperlead {
 namespace {
 
-constexpr std::size_t kMaxRefusedRemembered = 16;
+constexpr std::size_t kMaxRememberedRefusals = 16;
 constexpr std::string_view kSourceOrigin = "source";
 constexpr std::string_view kPlace = "configuration";
 
@@ -17,7 +17,8 @@
   return left.services == right.services && left.secrets == right.secrets;
 }
 
-// What an operator needs to correct a table: place and cause of one fault, number of the others.
+// Place and cause of the first fault and the number of the others, for the operator who corrects
+// the table.
 std::string FirstFault(const ConfigurationDocument& document) {
   std::string text = ToString(document.faults.front());
   const std::size_t others = document.faults.size() - 1;
@@ -31,12 +32,12 @@
   if (!Supersedes(version, running())) return false;
   if (held_ != nullptr && !Supersedes(version, held_->version)) return false;
   if (IsNewer(ledger_.floor(), version)) return false;
-  return !WasJudged(version);
+  return !WasDecided(version);
 }
 
-// A late push of an older version is judged (and refused) by the ledger like any other; only one
-// that the ledger has decided on already is not shown to it again.
-bool ConfigurationStream::WasJudged(const DocumentVersion& version) const {
+// The ledger also decides on (and refuses) late pushes of older versions. Only versions that it has
+// already decided on are not offered to it again.
+bool ConfigurationStream::WasDecided(const DocumentVersion& version) const {
   if (version == running()) return true;
   if (held_ != nullptr && held_->version == version) return true;
   return std::find(refused_.begin(), refused_.end(), version) != refused_.end();
@@ -44,7 +45,7 @@
 
 ReceiveResult ConfigurationStream::Receive(Timestamp now, const Transfer& transfer,
                                            const std::string& origin) {
-  if (WasJudged(transfer.version)) return ReceiveResult::kNotTaken;
+  if (WasDecided(transfer.version)) return ReceiveResult::kNotTaken;
   const Bundle* base = transfer.whole() ? nullptr : store_.Find(transfer.base);
   if (!transfer.whole() && base == nullptr) {
     return Wants(transfer.version) ? ReceiveResult::kUnknownBase : ReceiveResult::kNotTaken;
@@ -71,8 +72,8 @@
   offer.faulty = faulty;
   offer.fault = fault;
   if (!faulty) offer.missing = MissingNames(*bundle);
-  const VersionVerdict verdict = ledger_.Judge(now, offer);
-  Remember(verdict, origin, bundle);
+  const VersionVerdict verdict = ledger_.Decide(now, offer);
+  RecordVerdict(verdict, origin, bundle);
   if (verdict != VersionVerdict::kTaken) {
     ReportVerdict(verdict, origin, *bundle);
     return verdict;
@@ -82,8 +83,8 @@
   return verdict;
 }
 
-void ConfigurationStream::Remember(VersionVerdict verdict, const std::string& origin,
-                                   const BundlePointer& bundle) {
+void ConfigurationStream::RecordVerdict(VersionVerdict verdict, const std::string& origin,
+                                        const BundlePointer& bundle) {
   const bool from_peer = origin != kSourceOrigin;
   switch (verdict) {
     case VersionVerdict::kTaken:
@@ -100,7 +101,7 @@
     case VersionVerdict::kHeldIncomplete:
       if (!from_peer) return;
       refused_.push_back(bundle->version);
-      if (refused_.size() > kMaxRefusedRemembered) refused_.pop_front();
+      if (refused_.size() > kMaxRememberedRefusals) refused_.pop_front();
       return;
     default:
       return;
@@ -124,10 +125,9 @@
 
 SourceFinding ConfigurationStream::ReceiveFromSource(
     Timestamp now, const std::shared_ptr<const ConfigurationDocument>& document,
-    const DocumentVersion& running_when_asked) {
+    const DocumentVersion& running_at_read) {
   const Bundle& read = document->bundle;
-  const bool overtaken =
-      read.revision < running().major && read.revision >= running_when_asked.major;
+  const bool overtaken = read.revision < running().major && read.revision >= running_at_read.major;
   if (overtaken) return SourceFinding::kNothingNew;
   source_document_ = document;
   if (!document->faults.empty()) {
@@ -140,11 +140,11 @@
   const BundlePointer& current = store_.running();
   const bool same_revision = current != nullptr && current->revision == read.revision;
   const bool same_table = same_revision && current->table_digest == read.table_digest;
-  if (same_table && compared_ == read.version) return SourceFinding::kNothingNew;
+  if (same_table && last_compared_ == read.version) return SourceFinding::kNothingNew;
 
   const BundlePointer bundle = BuildFromSource(read);
   if (bundle == current) {
-    compared_ = read.version;
+    last_compared_ = read.version;
     source_document_.reset();
     return SourceFinding::kNothingNew;
   }
@@ -154,24 +154,24 @@
       verdict == VersionVerdict::kHeldJoining || verdict == VersionVerdict::kHeldIncomplete;
   if (held) return SourceFinding::kHeld;
   source_document_.reset();
-  compared_ = read.version;
+  last_compared_ = read.version;
   if (verdict == VersionVerdict::kTaken) return SourceFinding::kTaken;
   if (verdict == VersionVerdict::kRefusedConflict) return SourceFinding::kRefused;
   return SourceFinding::kBehind;
 }
 
 void ConfigurationStream::ConfirmFromSource() {
-  compared_ = DocumentVersion{running().major, 0, running().content};
+  last_compared_ = DocumentVersion{running().major, 0, running().content};
   source_document_.reset();
 }
 
-SourceFinding ConfigurationStream::OfferHeld(Timestamp now) {
+SourceFinding ConfigurationStream::OfferHeldAgain(Timestamp now) {
   if (held_ != nullptr) {
     const BundlePointer bundle = std::exchange(held_, nullptr);
     OfferBundle(now, held_origin_, bundle, /*faulty=*/false);
   }
   if (source_document_ == nullptr) return SourceFinding::kNothingNew;
-  // A copy: what is received may let go of source_document_ on the way.
+  // Copied because ReceiveFromSource may reset source_document_.
   const std::shared_ptr<const ConfigurationDocument> document = source_document_;
   return ReceiveFromSource(now, document, DocumentVersion{});
 }
@@ -183,7 +183,7 @@
   switch (verdict) {
     case VersionVerdict::kRefusedOlder:
     case VersionVerdict::kRefusedFloor:
-      // Late messages from peers are everyday; a source that goes back is not.
+      // Late messages from peers are normal, but a source that is rolled back is not.
       if (origin == kSourceOrigin) {
         outbox_.ReportOnce(ErrorKind::kRevisionBehind, place, explanation);
       }
--- a/src/distribution/configuration_stream.h
+++ b/src/distribution/configuration_stream.h
@@ -1,5 +1,5 @@
-// The configuration as one node sees it: what the source and peers offer is checked here, judged
-// by the ledger, and run or kept for later.
+// The configuration as one node sees it. Documents from the source and from peers are checked here,
+// offered to the ledger, and activated, held or refused by its verdict.
 #pragma once
 
 #include <deque>
@@ -17,13 +17,13 @@
 
 namespace copperlead {
 
-// What the source's document came to.
+// Outcome of a document that was read from the source.
 enum class SourceFinding {
-  kNothingNew,  // It is what runs, or was looked at before.
-  kTaken,       // It runs now: this node must spread it.
-  kHeld,        // It waits for a resource or for the end of the join.
-  kRefused,     // Faulty, or in conflict with what runs.
-  kBehind,      // Its revision is lower than the one that runs or the floor.
+  kNothingNew,  // It is the running one or was considered before.
+  kTaken,       // It runs now, and this node must push it to its peers.
+  kHeld,        // It is held until a resource appears or the join ends.
+  kRefused,     // It is faulty or conflicts with the running one.
+  kBehind,      // It is lower than the running version or the floor.
 };
 
 class ConfigurationStream : public DocumentStream {
@@ -43,30 +43,31 @@
   ReceiveResult Receive(Timestamp now, const Transfer& transfer,
                         const std::string& origin) override;
 
-  // Takes what this node itself read from the source.
-  // @param running_when_asked what ran when the source was asked: an answer that was overtaken by
-  //        a peer's newer version on its way is no sign of a source that went back.
+  // Handles a document that this node read from the source.
+  // @param running_at_read version that ran when the read was sent. An answer that a newer version
+  //        from a peer overtook in the meantime does not mean that the source was rolled back.
   SourceFinding ReceiveFromSource(Timestamp now,
                                   const std::shared_ptr<const ConfigurationDocument>& document,
-                                  const DocumentVersion& running_when_asked);
+                                  const DocumentVersion& running_at_read);
 
-  // The source was found to serve the document of the version that runs: leaves all as if it had
-  // been read, with nothing held or to be judged again.
+  // Call when the source turned out to serve the document of the running version. Leaves the state
+  // as if that document had been read: nothing from the source is held or offered again.
   void ConfirmFromSource();
 
-  // Judges again what was held while joining. Call after the ledger's joining ended.
-  // @return kTaken when the source's document runs now, so that this node must spread it.
-  SourceFinding OfferHeld(Timestamp now);
+  // Offers again what was held during the join. Call after the ledger's joining has ended.
+  // @return kTaken when the source's document runs now, so that this node must push it.
+  SourceFinding OfferHeldAgain(Timestamp now);
 
   VersionLedger& ledger() { return ledger_; }
   const VersionLedger& ledger() const { return ledger_; }
   const DocumentStore<Bundle>& store() const { return store_; }
 
  private:
-  bool WasJudged(const DocumentVersion& version) const;
+  bool WasDecided(const DocumentVersion& version) const;
   VersionVerdict OfferBundle(Timestamp now, const std::string& origin, const BundlePointer& bundle,
                              bool faulty, const std::string& fault = {});
-  void Remember(VersionVerdict verdict, const std::string& origin, const BundlePointer& bundle);
+  void RecordVerdict(VersionVerdict verdict, const std::string& origin,
+                     const BundlePointer& bundle);
   BundlePointer BuildFromSource(const Bundle& read);
   void ReportVerdict(VersionVerdict verdict, const std::string& origin, const Bundle& bundle);
   void ReportFaults(const ConfigurationDocument& document);
@@ -75,14 +76,14 @@
   TransferDecoder& decoder_;
   VersionLedger ledger_;
   DocumentStore<Bundle> store_;
-  BundlePointer held_;  // From a peer, until the join ends.
+  BundlePointer held_;  // Bundle from a peer, until the join ends.
   std::string held_origin_;
-  std::deque<DocumentVersion> refused_;  // Not asked for again; oldest first.
-  // Read from the source and not yet run, kept to be judged again.
+  std::deque<DocumentVersion> refused_;  // Versions not pulled again; oldest first.
+  // Document that was read from the source and does not run yet, kept to be offered again.
   std::shared_ptr<const ConfigurationDocument> source_document_;
-  // Content of the source's document when its resources were last compared with the running ones:
-  // only a change of this node's own view raises the resource epoch.
-  std::optional<DocumentVersion> compared_;
+  // Version of the source's document whose resources were last compared with the running ones. Only
+  // a change that this node sees itself raises the resource epoch.
+  std::optional<DocumentVersion> last_compared_;
 };
 
 }  // namespace copperlead
--- a/src/distribution/version_ledger.cc
+++ b/src/distribution/version_ledger.cc
@@ -16,7 +16,7 @@
   return text;
 }
 
-// One sentence for an operator about why `entry.offer.version` was judged so.
+// One sentence that explains the verdict to an operator.
 std::string Explain(const LedgerEntry& entry) {
   const std::string offered = ToString(entry.offer.version);
   const std::string running = ToString(entry.before.running);
@@ -25,16 +25,16 @@
     case VersionVerdict::kTaken:
       return "Version " + offered + from + " replaces version " + running + ".";
     case VersionVerdict::kAlreadyRunning:
-      return "Version " + offered + from + " is the one that runs.";
+      return "Version " + offered + from + " is already running.";
     case VersionVerdict::kHeldIncomplete:
-      return "Version " + offered + from + " waits: its table names " + Join(entry.offer.missing) +
-             ", which is not there; version " + running + " stays.";
+      return "Version " + offered + from + " is held: its table names " +
+             Join(entry.offer.missing) + ", which is missing; version " + running + " stays.";
     case VersionVerdict::kHeldJoining:
       return "Version " + offered + from +
-             " waits until peers have said which version this node may not fall below.";
+             " is held until peers have reported the lowest version that this node may run.";
     case VersionVerdict::kRefusedOlder:
       return "Version " + offered + from + " is refused: version " + running +
-             " runs and comes after it.";
+             " is running and takes precedence.";
     case VersionVerdict::kRefusedFloor:
       return "Version " + offered + from +
              " is refused: peers run, or remember this node to have "
@@ -101,7 +101,7 @@
 
 VersionLedger::VersionLedger(const LedgerFaults& faults) : faults_(faults) {}
 
-VersionVerdict VersionLedger::Judge(Timestamp now, const Offer& offer) {
+VersionVerdict VersionLedger::Decide(Timestamp now, const Offer& offer) {
   const VersionVerdict verdict = DecideVersion(state_, offer, faults_);
   Record(now, offer, verdict);
   if (verdict == VersionVerdict::kTaken) {
@@ -124,18 +124,18 @@
   const bool held =
       verdict == VersionVerdict::kHeldIncomplete || verdict == VersionVerdict::kHeldJoining;
   const bool taken = verdict == VersionVerdict::kTaken;
-  // What waits is the newest version that was held and has not been overtaken since.
+  // waiting_ is the newest held version that the running one has not superseded since.
   if (held && !(waiting_ && IsNewer(waiting_->offer.version, offer.version))) waiting_ = entry;
-  const bool judged_anew = waiting_ && waiting_->offer.version == offer.version;
-  if (!held && judged_anew) waiting_.reset();
+  const bool decided_again = waiting_ && waiting_->offer.version == offer.version;
+  if (!held && decided_again) waiting_.reset();
   if (taken && waiting_ && !IsNewer(waiting_->offer.version, offer.version)) waiting_.reset();
   if (verdict == VersionVerdict::kRefusedConflict) conflict_ = entry;
   if (taken && conflict_ && offer.version.major > conflict_->offer.version.major) conflict_.reset();
 
   if (IsRefusal(verdict) && !IsNewer(state_.running, offer.version)) last_refused_ = entry;
-  const bool overtaken =
+  const bool superseded =
       taken && last_refused_ && IsNewer(offer.version, last_refused_->offer.version);
-  if (overtaken) last_refused_.reset();
+  if (superseded) last_refused_.reset();
 
   entries_.push_back(std::move(entry));
   if (entries_.size() > kMaxLedgerEntries) entries_.pop_front();
--- a/src/distribution/version_ledger.h
+++ b/src/distribution/version_ledger.h
@@ -1,6 +1,6 @@
-// Decides which configuration this node runs: takes, holds or refuses each version offered.
-// The only place that moves a node from one table to another. Pure; its inputs and decisions are
-// what `copperlead replay` runs again.
+// Decides which configuration this node runs: each version that is offered is taken, held or
+// refused. Nothing else moves a node from one table to another. The ledger does no I/O and reads no
+// clock; `copperlead replay` repeats its recorded inputs and decisions.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +14,16 @@
 
 namespace copperlead {
 
-// Why a version was taken or not.
+// Whether a version was taken, held or refused, and why.
 enum class VersionVerdict : std::uint8_t {
   kTaken,
   kAlreadyRunning,
-  kHeldIncomplete,   // Names a service or secret that is not there; waits for it.
-  kHeldJoining,      // The floor is not known yet; waits for peers or the bounded wait.
-  kRefusedOlder,     // Lower than the running one.
-  kRefusedFloor,     // Lower than what peers remember this node to have run.
-  kRefusedConflict,  // Same revision as the running one, other table.
-  kRefusedFaulty,    // The table has faults.
+  kHeldIncomplete,   // It names a missing service or secret and waits for it.
+  kHeldJoining,      // The floor is unknown until peers answer or the bounded wait ends.
+  kRefusedOlder,     // It is lower than the running version.
+  kRefusedFloor,     // It is lower than the floor that peers reported.
+  kRefusedConflict,  // It has the revision of the running one but another table.
+  kRefusedFaulty,    // Its table has faults.
 };
 std::string_view Name(VersionVerdict verdict);
 
@@ -32,23 +32,23 @@
   std::string origin;  // "source" or the id of the peer that sent the version.
   DocumentVersion version;
   bool faulty = false;
-  std::vector<std::string> missing;  // Names that the offered bundle lacks.
-  Digest table_digest{};             // Tells a conflict from other secrets.
-  std::string fault{};  // Of a faulty one: row, column and cause of the first fault, if known.
+  std::vector<std::string> missing;  // Names that the table uses and the bundle lacks.
+  Digest table_digest{};             // Distinguishes a conflict from changed secrets.
+  std::string fault{};  // Row, column and cause of the first fault of a faulty table, if known.
 };
 
-// True when the version itself was turned down, and not only what is older than the running one.
+// True when the version was refused for another reason than being older than the running one.
 bool IsRefusal(VersionVerdict verdict);
 
-// What a verdict rests on besides the offer.
+// State that determines a verdict together with the offer.
 struct LedgerState {
-  bool joining = true;  // While joining (at start, after a pause) nothing is taken.
+  bool joining = true;  // True at start and after a pause; nothing is taken.
   DocumentVersion running;
   Digest running_table{};
   DocumentVersion floor;
 };
 
-// One decision, as the journal and `status` show it. Holds no secret.
+// One decision, as the journal and `status` show it. It contains no secret.
 struct LedgerEntry {
   Timestamp when{};
   Offer offer;
@@ -57,7 +57,7 @@
   std::string explanation;  // One sentence for an operator.
 };
 
-// Deliberately broken rules, for tests that show the checks can fail. Never set in a daemon.
+// Rules that tests break on purpose, to show that their checks can fail. Never set in a daemon.
 struct LedgerFaults {
   bool accept_older = false;
   bool ignore_floor = false;
@@ -66,7 +66,7 @@
   bool replace_on_conflict = false;
 };
 
-// The rule itself: the same state and offer always get the same verdict.
+// Pure function: the same state and offer always give the same verdict.
 VersionVerdict DecideVersion(const LedgerState& state, const Offer& offer,
                              const LedgerFaults& faults = {});
 
@@ -74,20 +74,21 @@
  public:
   explicit VersionLedger(const LedgerFaults& faults = {});
 
-  // Judges a version and records the decision. The caller activates exactly when kTaken.
-  VersionVerdict Judge(Timestamp now, const Offer& offer);
+  // Decides on a version and records the decision. The caller activates the version if and only if
+  // the result is kTaken.
+  VersionVerdict Decide(Timestamp now, const Offer& offer);
 
-  // Raises the floor to what a peer remembers or runs; never lowers it.
+  // Raises the floor to a version that a peer remembers or runs. Never lowers it.
   void RaiseFloor(const DocumentVersion& floor);
   void SetJoining(bool joining);
 
   bool joining() const { return state_.joining; }
   const DocumentVersion& running() const { return state_.running; }
   const DocumentVersion& floor() const { return state_.floor; }
-  // The version that waits for a resource, and the one that conflicts with the running one.
+  // Version that is held, and version that conflicts with the running one.
   const std::optional<LedgerEntry>& waiting() const { return waiting_; }
   const std::optional<LedgerEntry>& conflict() const { return conflict_; }
-  // The latest refusal that the running version has not overtaken.
+  // Latest refusal whose version is not superseded by the running one.
   const std::optional<LedgerEntry>& last_refused() const { return last_refused_; }
   const std::deque<LedgerEntry>& entries() const { return entries_; }
 
--- a/tests/distribution/version_ledger_test.cc
+++ b/tests/distribution/version_ledger_test.cc
@@ -1,5 +1,5 @@
-// The contract of the version ledger as a table, and proof that each rule of it is checked: every
-// deliberately broken variant must fail at least one case.
+// The contract of the version ledger as a table of cases. A second test breaks each rule on purpose
+// and requires that at least one case then fails.
 #include "distribution/version_ledger.h"
 
 #include <gmock/gmock.h>
@@ -30,7 +30,7 @@
   return offer;
 }
 
-// Versions offered in turn, and the verdict that each must get.
+// A version that is offered, and the verdict that it must get.
 struct LedgerStep {
   Offer offer;
   VersionVerdict expected;
@@ -114,11 +114,11 @@
     VersionLedger ledger(faults);
     ledger.SetJoining(contract.joining);
     ledger.RaiseFloor(contract.floor);
-    bool right = true;
+    bool passed = true;
     for (const LedgerStep& step : contract.steps) {
-      if (ledger.Judge(Timestamp{}, step.offer) != step.expected) right = false;
+      if (ledger.Decide(Timestamp{}, step.offer) != step.expected) passed = false;
     }
-    if (!right) failing.push_back(contract.name);
+    if (!passed) failing.push_back(contract.name);
   }
   return failing;
 }
@@ -143,15 +143,15 @@
 TEST(VersionLedgerTest, ShowsWhatWaitsAndWhatConflictsUntilItEnds) {
   VersionLedger ledger;
   ledger.SetJoining(false);
-  ledger.Judge(Timestamp{}, Of(7, 0, 1, 1));
-  ledger.Judge(Timestamp{}, Of(7, 0, 2, 2));
+  ledger.Decide(Timestamp{}, Of(7, 0, 1, 1));
+  ledger.Decide(Timestamp{}, Of(7, 0, 2, 2));
   ASSERT_TRUE(ledger.conflict().has_value());
   EXPECT_THAT(ledger.conflict()->explanation, testing::HasSubstr("same revision"));
-  ledger.Judge(Timestamp{}, Incomplete(Of(8, 0, 3, 3)));
+  ledger.Decide(Timestamp{}, Incomplete(Of(8, 0, 3, 3)));
   ASSERT_TRUE(ledger.waiting().has_value());
   EXPECT_THAT(ledger.waiting()->explanation, testing::HasSubstr("secret permit-token"));
   EXPECT_EQ(ledger.running().major, 7U);
-  ledger.Judge(Timestamp{}, Of(8, 0, 4, 3));
+  ledger.Decide(Timestamp{}, Of(8, 0, 4, 3));
   EXPECT_FALSE(ledger.waiting().has_value());
   EXPECT_FALSE(ledger.conflict().has_value());
 }
@@ -162,7 +162,7 @@
   ledger.RaiseFloor({8, 5, 1});
   EXPECT_EQ(ledger.floor().major, 9U);
   for (std::size_t count = 0; count < kMaxLedgerEntries + 10; ++count) {
-    ledger.Judge(Timestamp{}, Of(1, 0, 1, 1));
+    ledger.Decide(Timestamp{}, Of(1, 0, 1, 1));
   }
   EXPECT_EQ(ledger.entries().size(), kMaxLedgerEntries);
 }
