--- a/src/distribution/agent_implementation.cc
+++ b/src/distribution/agent_implementation.cc
@@ -9,7 +9,7 @@
 
 // Probe intervals for which a member believed dead still counts in the ranking of readers: enough
 // for it to hear of the rumour and to refute it. Its standbys make up for it meanwhile.
-constexpr std::int64_t kLeaderMemoryProbes = 10;
+constexpr std::int64_t kLeaderRetentionProbes = 10;
 
 // Distinct streams of random numbers from one seed.
 enum SeedSalt : std::uint64_t {
@@ -56,7 +56,7 @@
     : settings_(settings),
       membership_(settings_.membership, WithoutVersion(std::move(self)),
                   Salted(seed, kMembershipSeed), now),
-      view_(membership_, settings_.membership.probe_interval * kLeaderMemoryProbes),
+      view_(membership_, settings_.membership.probe_interval * kLeaderRetentionProbes),
       configuration_(settings_.faults, settings_.history_size, outbox_, DecoderOf(settings_)),
       machines_(settings_.history_size, outbox_, DecoderOf(settings_)),
       configuration_pusher_(settings_, membership_, view_, configuration_,
@@ -93,8 +93,8 @@
   fleet_refusal_.SetRunning(configuration_.running());
   const std::optional<LedgerEntry>& own = configuration_.ledger().last_refused();
   if (own && own->verdict != VersionVerdict::kRefusedFloor) {
-    fleet_refusal_.Hear({own->offer.version, membership_.self().id,
-                         own->explanation.substr(0, kMaxExplanationBytes)});
+    fleet_refusal_.Record({own->offer.version, membership_.self().id,
+                           own->explanation.substr(0, kMaxExplanationBytes)});
   }
   membership_.SetRefused(fleet_refusal_.known());
 }
@@ -114,8 +114,8 @@
 // version it runs, but holds no role and takes nothing until it has heard the fleet again.
 void Agent::Implementation::WakeFromPause(Timestamp now) {
   poller_.Drop();
-  configuration_pusher_.Drop();
-  machine_pusher_.Drop();
+  configuration_pusher_.Reset();
+  machine_pusher_.Reset();
   configuration_repairer_.Drop();
   machine_repairer_.Drop();
   if (!leaving_) BeginJoin(now);
@@ -155,8 +155,8 @@
   situation.peer_ahead = configuration_repairer_.wanted();
   situation.has_machines = !machines_.running().none();
   // A node that starts goes by its view alone: it has seen no other.
-  const std::size_t lasting_rank = view_.LastingRank(now);
-  situation.rank = situation.has_document ? lasting_rank : view_.own_rank();
+  const std::size_t stable_rank = view_.StableRank(now);
+  situation.rank = situation.has_document ? stable_rank : view_.own_rank();
   situation.zone_index = view_.zone_index();
   situation.zone_count = view_.zone_count();
   situation.live_count = membership_.LiveCount();
@@ -219,7 +219,7 @@
 void Agent::Implementation::SpreadFromSource(Timestamp now, Pusher& pusher) {
   if (!Pushes()) return;
   view_.Refresh(now);
-  pusher.SpreadEverywhere(now);
+  pusher.PushToAllZones(now);
 }
 
 void Agent::Implementation::On(Timestamp now, const StopRequested& /*event*/) {
--- a/src/distribution/agent_messages.cc
+++ b/src/distribution/agent_messages.cc
@@ -28,10 +28,10 @@
 
 void Agent::Implementation::HearSummary(Timestamp now, const NodeSummary& sender) {
   const MemberRecord& record = sender.record;
-  if (sender.refused) fleet_refusal_.Hear(*sender.refused);
+  if (sender.refused) fleet_refusal_.Record(*sender.refused);
   if (gate_.waiting()) configuration_.ledger().RaiseFloor(record.configuration);
-  configuration_pusher_.HearVersion(record.id, record.configuration);
-  machine_pusher_.HearVersion(record.id, sender.machines);
+  configuration_pusher_.RecordVersion(record.id, record.configuration);
+  machine_pusher_.RecordVersion(record.id, sender.machines);
   if (Repairs(StreamKind::kConfiguration)) {
     configuration_repairer_.Hear(now, record, record.configuration);
   }
@@ -90,9 +90,9 @@
   const bool from_other_zone = sender.zone != membership_.self().zone;
   const bool pulled = push.root.empty();
   if (pulled) {
-    if (taken && from_other_zone && poller_.is_reader()) pusher.SpreadInZone(now);
+    if (taken && from_other_zone && poller_.is_reader()) pusher.PushInZone(now);
   } else if (from_other_zone && MayStartInZone(now)) {
-    pusher.SpreadInZone(now);
+    pusher.PushInZone(now);
   } else {
     pusher.Forward(now, push.root);
   }
@@ -100,13 +100,13 @@
 
 void Agent::Implementation::OnBody(Timestamp /*now*/, const MemberRecord& sender,
                                    const PushAck& acknowledgement) {
-  PusherOf(acknowledgement.stream).HearVersion(sender.id, acknowledgement.version);
+  PusherOf(acknowledgement.stream).RecordVersion(sender.id, acknowledgement.version);
 }
 
 void Agent::Implementation::OnBody(Timestamp now, const MemberRecord& sender, const Pull& pull) {
   DocumentStream& stream = StreamOf(pull.stream);
   if (!Supersedes(stream.running(), pull.have)) return;
-  if (PusherOf(pull.stream).RepeatFrom(now, sender.id, pull.have)) return;
+  if (PusherOf(pull.stream).ResendFrom(now, sender.id, pull.have)) return;
   Transfer transfer = stream.TransferFrom(pull.have);
   if (transfer.whole() && !whole_transfer_limiter_.TryAdmit(now)) {
     const auto wait = std::chrono::ceil<Milliseconds>(whole_transfer_limiter_.RetryDelay(now));
--- a/src/distribution/fleet_refusal.h
+++ b/src/distribution/fleet_refusal.h
@@ -1,5 +1,6 @@
-// What this node knows of a version that some node of the fleet has refused. Spreads with every
-// message, so that any node can tell an operator of it, not only those that read the source. Pure.
+// The latest refused version that this node knows of, whichever node refused it. It is part of
+// every message, so that any node can show it to an operator, not only the readers of the source.
+// Does no I/O and reads no clock.
 #pragma once
 
 #include <optional>
@@ -10,16 +11,16 @@
 
 class FleetRefusal {
  public:
-  // Takes what this node refused or a peer told, unless a later version's refusal is known.
-  void Hear(const RefusedVersion& refusal);
+  // Records a refusal by this node or reported by a peer, unless one of a later version is known.
+  void Record(const RefusedVersion& refusal);
 
-  // Forgets a refusal that the running version has overtaken, or has turned out to be.
+  // Sets the running version and drops a refusal of that version or of an older one.
   void SetRunning(const DocumentVersion& running);
 
   const std::optional<RefusedVersion>& known() const { return known_; }
 
  private:
-  bool IsOvertaken(const DocumentVersion& refused) const;
+  bool IsSuperseded(const DocumentVersion& refused) const;
 
   std::optional<RefusedVersion> known_;
   DocumentVersion running_;
--- a/src/distribution/fleet_view.cc
+++ b/src/distribution/fleet_view.cc
@@ -30,13 +30,13 @@
   }
 }
 
-std::size_t FleetView::LastingRank(Timestamp now) {
+std::size_t FleetView::StableRank(Timestamp now) {
   const auto leaving = [&](const NodeId& id) {
     const auto found = membership_.members().find(id);
     return found != membership_.members().end() &&
            found->second.record.state == MemberState::kLeaving;
   };
-  return leading_members_.LastingRank(now, membership_.self(), own_rank_, first_in_zone_, leaving);
+  return leading_members_.StableRank(now, membership_.self(), own_rank_, first_in_zone_, leaving);
 }
 
 }  // namespace copperlead
--- a/src/distribution/leading_members.cc
+++ b/src/distribution/leading_members.cc
@@ -6,14 +6,15 @@
 
 namespace copperlead {
 
-std::size_t LeadingMembers::LastingRank(Timestamp now, const MemberRecord& self, std::size_t rank,
-                                        const std::vector<MemberRecord>& first,
-                                        const std::function<bool(const NodeId&)>& leaving) {
+std::size_t LeadingMembers::StableRank(Timestamp now, const MemberRecord& self, std::size_t rank,
+                                       const std::vector<MemberRecord>& first,
+                                       const std::function<bool(const NodeId&)>& leaving) {
   for (const MemberRecord& member : first) last_seen_[member.id] = now;
   std::erase_if(last_seen_, [&](const auto& entry) {
-    return now - entry.second >= memory_ || leaving(entry.first);
+    return now - entry.second >= retention_ || leaving(entry.first);
   });
-  // Not all that are ahead are among the first then, but the rank has no role anyway.
+  // Not all members ahead of this one are among the first in this case, but such a rank has no
+  // role.
   if (rank >= kPollingRanks) return rank;
   const auto ahead = std::count_if(last_seen_.begin(), last_seen_.end(), [&](const auto& entry) {
     return entry.first != self.id && RanksAhead(self.zone, entry.first, self.id);
--- a/src/distribution/leading_members.h
+++ b/src/distribution/leading_members.h
@@ -1,8 +1,9 @@
-// Remembers who ranked first in a zone lately, so that a rumour of death gives nobody a role.
+// Remembers the members that recently ranked first in a zone, so that a false report of their death
+// does not give this node a role.
 //
-// When a cut heals, each node hears for a while that many members of its own zone are dead, until
-// they have refuted it. A node that took a reader's place by each such rumour would make dozens
-// of nodes read the source at once.
+// After a partition heals, each node receives for a while reports that many members of its own zone
+// are dead, until these have refuted them. If a node took over from a reader on each such report,
+// dozens of nodes would read the source at once.
 #pragma once
 
 #include <cstddef>
@@ -15,25 +16,26 @@
 
 namespace copperlead {
 
-// Not thread-safe. Of one zone.
+// Covers one zone. Not thread-safe.
 class LeadingMembers {
  public:
-  // @param memory how long a member that is believed dead still counts.
-  explicit LeadingMembers(Duration memory) : memory_(memory) {}
+  // @param retention how long a member that is believed dead still counts.
+  explicit LeadingMembers(Duration retention) : retention_(retention) {}
 
-  // Takes the present view, and gives the rank to act by.
-  // @param self this node, in the zone.
-  // @param rank its rank by the view.
-  // @param first the first kPollingRanks members by the view.
-  // @param leaving whether a member said itself that it leaves: it no longer counts.
-  // @return the number of members ahead of this one, now or lately.
-  std::size_t LastingRank(Timestamp now, const MemberRecord& self, std::size_t rank,
-                          const std::vector<MemberRecord>& first,
-                          const std::function<bool(const NodeId&)>& leaving);
+  // Records the current view and returns the rank to act on.
+  // @param self this node, a member of the zone.
+  // @param rank its rank in the view.
+  // @param first the first kPollingRanks members in the view.
+  // @param leaving whether a member has announced that it leaves, so that it no longer counts.
+  // @return the number of members that rank ahead of this one, now or within the retention time.
+  //         Ranks from kPollingRanks on are returned unchanged.
+  std::size_t StableRank(Timestamp now, const MemberRecord& self, std::size_t rank,
+                         const std::vector<MemberRecord>& first,
+                         const std::function<bool(const NodeId&)>& leaving);
 
  private:
-  Duration memory_;
-  std::map<NodeId, Timestamp> last_seen_;  // When each was last among the first.
+  Duration retention_;
+  std::map<NodeId, Timestamp> last_seen_;  // Time when each was last among the first.
 };
 
 }  // namespace copperlead
--- a/src/distribution/push_tree.cc
+++ b/src/distribution/push_tree.cc
@@ -8,12 +8,12 @@
 namespace copperlead {
 namespace {
 
-struct Place {
+struct ScoredMember {
   std::uint64_t score;
   const MemberRecord* member;
 };
 
-bool ComesFirst(const Place& left, const Place& right) {
+bool ComesBefore(const ScoredMember& left, const ScoredMember& right) {
   if (left.score != right.score) return left.score < right.score;
   return left.member->id < right.member->id;
 }
@@ -25,15 +25,15 @@
     : fan_out_(std::max<std::size_t>(fan_out, 1)) {
   const std::uint64_t seed =
       XXH3_64bits_withSeed(&version.major, sizeof version.major, version.minor);
-  std::vector<Place> places;
-  places.reserve(members.size());
+  std::vector<ScoredMember> scored;
+  scored.reserve(members.size());
   for (const MemberRecord& member : members) {
     const std::uint64_t score = XXH3_64bits_withSeed(member.id.data(), member.id.size(), seed);
-    places.push_back({score, &member});
+    scored.push_back({score, &member});
   }
-  std::sort(places.begin(), places.end(), ComesFirst);
-  order_.reserve(places.size());
-  for (const Place& place : places) order_.push_back(*place.member);
+  std::sort(scored.begin(), scored.end(), ComesBefore);
+  order_.reserve(scored.size());
+  for (const ScoredMember& entry : scored) order_.push_back(*entry.member);
 }
 
 std::optional<std::size_t> PushTree::IndexOf(const NodeId& id) const {
@@ -43,18 +43,18 @@
   return std::nullopt;
 }
 
-std::vector<std::size_t> PushTree::Heads() const { return Range(0); }
+std::vector<std::size_t> PushTree::TopLevel() const { return Range(0); }
 
 std::vector<std::size_t> PushTree::ChildrenOf(std::size_t index) const {
   return Range((index + 1) * fan_out_);
 }
 
-// The `fan_out_` places from `first` on, as far as there are members.
+// Returns up to `fan_out_` indices from `first` on, as far as there are members.
 std::vector<std::size_t> PushTree::Range(std::size_t first) const {
-  std::vector<std::size_t> places;
+  std::vector<std::size_t> indices;
   const std::size_t end = std::min(first + fan_out_, order_.size());
-  for (std::size_t place = first; place < end; ++place) places.push_back(place);
-  return places;
+  for (std::size_t index = first; index < end; ++index) indices.push_back(index);
+  return indices;
 }
 
 }  // namespace copperlead
--- a/src/distribution/push_tree.h
+++ b/src/distribution/push_tree.h
@@ -1,11 +1,11 @@
-// The forest along which one zone's members hand a version down. Pure.
+// The forest along which the members of one zone push a version. Does no I/O.
 //
-// Members are ordered by a hash over the version, so that the inner nodes change from version to
-// version. The first `fan_out` of the order are the heads; the children of the others follow from
-// their place. The forest does not depend on who starts a push: whoever does pushes to the heads
-// and to its own children. So when two nodes start one version (a reader and its standby both
-// read it), their pushes meet in one forest and no member is left out. Nodes with different views
-// build different forests; repair closes the gaps.
+// Members are ordered by a hash of version and id, so that the inner nodes change from version to
+// version. The first `fan_out` members are the top level; the children of each member follow from
+// its index. The forest does not depend on who starts a push: the starting node pushes to the top
+// level and to its own children. When two nodes start the same version (a reader and its standby
+// both read it), both use the same forest and no member is left out. Nodes with different views of
+// the zone build different forests; repair reaches the members that are missed.
 #pragma once
 
 #include <cstddef>
@@ -18,17 +18,17 @@
 
 class PushTree {
  public:
-  // @param members of one zone.
-  // @param fan_out children per node, at least 1.
+  // @param fan_out children per node; raised to 1 if it is 0.
+  // @param members all members of one zone.
   PushTree(const DocumentVersion& version, std::size_t fan_out,
            const std::vector<MemberRecord>& members);
 
   const std::vector<MemberRecord>& order() const { return order_; }
-  // @return the place of a member in the order, none when it is not in the forest.
+  // @return the index of a member in the order, or none when it is not in the forest.
   std::optional<std::size_t> IndexOf(const NodeId& id) const;
-  // @return the places of the heads.
-  std::vector<std::size_t> Heads() const;
-  // @return the places of the children of the member at `index`.
+  // @return the indices of the top level.
+  std::vector<std::size_t> TopLevel() const;
+  // @return the indices of the children of the member at `index`.
   std::vector<std::size_t> ChildrenOf(std::size_t index) const;
 
  private:
--- a/src/distribution/pusher.cc
+++ b/src/distribution/pusher.cc
@@ -9,8 +9,8 @@
 namespace copperlead {
 namespace {
 
-// What a member said of itself this long ago is taken for what it runs.
-constexpr Duration kFreshKnowledge = std::chrono::seconds(2);
+// A member is assumed to still run the version that it reported at most this long ago.
+constexpr Duration kMaxVersionAge = std::chrono::seconds(2);
 constexpr std::size_t kMaxRetryDoublings = 4;
 
 }  // namespace
@@ -35,24 +35,24 @@
 
 void Pusher::BuildTree() {
   if (tree_) return;
-  // In a flat push all members are heads.
+  // A flat push has all members on the top level.
   const bool flat = settings_.strategy == Strategy::kFlatPush;
   const std::vector<MemberRecord> zone = membership_.EligibleInZone(membership_.self().zone);
   tree_.emplace(version_, flat ? zone.size() : settings_.fan_out, zone);
 }
 
-void Pusher::SpreadInZone(Timestamp now) {
+void Pusher::PushInZone(Timestamp now) {
   StartVersion();
   if (started_ || version_.none()) return;
   started_ = true;
   root_ = membership_.self().id;
   BuildTree();
-  PushTo(now, tree_->Heads());
+  PushTo(now, tree_->TopLevel());
   PushToOwnChildren(now);
 }
 
-void Pusher::SpreadEverywhere(Timestamp now) {
-  SpreadInZone(now);
+void Pusher::PushToAllZones(Timestamp now) {
+  PushInZone(now);
   for (const auto& [zone, readers] : view_.readers()) {
     if (zone != membership_.self().zone) PushToReader(now, zone, kReaderRank);
   }
@@ -69,18 +69,18 @@
 void Pusher::PushToOwnChildren(Timestamp now) {
   if (forwarded_) return;
   forwarded_ = true;
-  const std::optional<std::size_t> own_place = tree_->IndexOf(membership_.self().id);
-  if (own_place) PushTo(now, tree_->ChildrenOf(*own_place));
+  const std::optional<std::size_t> own_index = tree_->IndexOf(membership_.self().id);
+  if (own_index) PushTo(now, tree_->ChildrenOf(*own_index));
 }
 
-void Pusher::PushTo(Timestamp now, const std::vector<std::size_t>& places, bool taken_over) {
-  for (const std::size_t place : places) {
-    const MemberRecord& member = tree_->order()[place];
+void Pusher::PushTo(Timestamp now, const std::vector<std::size_t>& indices, bool taken_over) {
+  for (const std::size_t index : indices) {
+    const MemberRecord& member = tree_->order()[index];
     if (member.id == membership_.self().id || outstanding_.contains(member.id)) continue;
     Outstanding push;
     push.address = member.address;
     push.root = root_;
-    push.tree_index = place;
+    push.tree_index = index;
     push.taken_over = taken_over;
     Send(now, push, BaseFor(now, member.id));
     outstanding_[member.id] = std::move(push);
@@ -104,7 +104,8 @@
 
 void Pusher::Send(Timestamp now, Outstanding& push, const DocumentVersion& base) {
   if (push.attempts == 0) push.first_sent = now;
-  // Each wait is twice the one before: a receiver that is slow must not be sent more for it.
+  // The wait doubles with each attempt, so that a slow receiver does not get more load because it
+  // is slow.
   const std::size_t doublings = std::min(push.attempts, kMaxRetryDoublings);
   push.next_retry = now + settings_.push_retry * (std::int64_t{1} << doublings);
   ++push.attempts;
@@ -113,13 +114,13 @@
   outbox_.Send(push.address, Push{std::move(transfer), push.root, std::move(etag)});
 }
 
-void Pusher::HearVersion(const NodeId& id, const DocumentVersion& version) {
+void Pusher::RecordVersion(const NodeId& id, const DocumentVersion& version) {
   const auto found = outstanding_.find(id);
   if (found == outstanding_.end()) return;
   if (!IsNewer(version_, version)) outstanding_.erase(found);
 }
 
-bool Pusher::RepeatFrom(Timestamp now, const NodeId& id, const DocumentVersion& have) {
+bool Pusher::ResendFrom(Timestamp now, const NodeId& id, const DocumentVersion& have) {
   const auto found = outstanding_.find(id);
   if (found == outstanding_.end() || version_ != stream_.running()) return false;
   Send(now, found->second, have);
@@ -139,26 +140,26 @@
       Send(now, found->second, BaseFor(now, id));
       continue;
     }
-    const Outstanding lost = std::move(found->second);
+    const Outstanding abandoned = std::move(found->second);
     outstanding_.erase(found);
-    GiveUp(now, id, lost);
+    GiveUp(now, id, abandoned);
   }
 }
 
-// A member that is silent is taken to be gone, and its children are served in its place. One that
-// was heard is only slow, and so may its children be: repair sees to them. Children of children are
-// not taken over either, or a fleet that is short of processor time would answer with ever more
-// pushes.
+// A member from which no message arrived since the push is presumed dead, and its children are
+// pushed to in its place. A member from which one did arrive is only slow; its children may be slow
+// too and are left to repair. The children of members that were taken over are not taken over in
+// turn, because a fleet that is short of processor time would react with ever more pushes.
 void Pusher::GiveUp(Timestamp now, const NodeId& id, const Outstanding& push) {
   if (push.tree_index) {
-    const bool is_gone = !push.taken_over && !WasHeardSince(id, push.first_sent);
-    if (is_gone) PushTo(now, tree_->ChildrenOf(*push.tree_index), /*taken_over=*/true);
+    const bool take_over_children = !push.taken_over && !HasSentSince(id, push.first_sent);
+    if (take_over_children) PushTo(now, tree_->ChildrenOf(*push.tree_index), /*taken_over=*/true);
   } else if (push.reader_rank < kStandbyRank) {
     PushToReader(now, push.zone, push.reader_rank + 1);
   }
 }
 
-bool Pusher::WasHeardSince(const NodeId& id, Timestamp time) const {
+bool Pusher::HasSentSince(const NodeId& id, Timestamp time) const {
   const auto found = membership_.members().find(id);
   return found != membership_.members().end() && found->second.last_heard >= time;
 }
@@ -179,13 +180,13 @@
   return found == membership_.members().end() ? DocumentVersion{} : VersionOf(found->second);
 }
 
-// In a large fleet a member was last heard long ago, and by now it runs what this node ran before.
-// One that does not asks for what it needs.
+// In a large fleet the last message from a member is usually old, and by now the member runs the
+// version that this node ran before. A member that does not run it pulls with its own base.
 DocumentVersion Pusher::BaseFor(Timestamp now, const NodeId& id) const {
   const auto found = membership_.members().find(id);
   if (found == membership_.members().end()) return stream_.previous();
   const DocumentVersion known = VersionOf(found->second);
-  const bool fresh = now - found->second.last_heard <= kFreshKnowledge;
+  const bool fresh = now - found->second.last_heard <= kMaxVersionAge;
   return fresh && stream_.Holds(known) ? known : stream_.previous();
 }
 
--- a/src/distribution/reader_election.cc
+++ b/src/distribution/reader_election.cc
@@ -56,12 +56,12 @@
 std::size_t ReaderRank(const ZoneName& zone, const std::vector<const MemberRecord*>& members,
                        const NodeId& id) {
   const std::vector<Candidate> candidates = Score(zone, members);
-  const auto is_asked = [&](const Candidate& candidate) { return candidate.member->id == id; };
-  const auto asked = std::find_if(candidates.begin(), candidates.end(), is_asked);
-  if (asked == candidates.end()) return members.size();
+  const auto has_id = [&](const Candidate& candidate) { return candidate.member->id == id; };
+  const auto found = std::find_if(candidates.begin(), candidates.end(), has_id);
+  if (found == candidates.end()) return members.size();
   const auto ahead =
       std::count_if(candidates.begin(), candidates.end(),
-                    [&](const Candidate& candidate) { return RanksBefore(candidate, *asked); });
+                    [&](const Candidate& candidate) { return RanksBefore(candidate, *found); });
   return static_cast<std::size_t>(ahead);
 }
 
--- a/src/distribution/reader_election.h
+++ b/src/distribution/reader_election.h
@@ -1,8 +1,8 @@
-// Who of a zone reads the source: a soft role by rendezvous hashing. Pure.
+// Election of the members of a zone that read the source, by rendezvous hashing. Pure functions.
 //
-// No shared storage can hold a lease, so nothing is agreed on: each node ranks the members that it
-// believes eligible. Different views may give two readers for a while; versions order what they
-// read, only the source's load is higher.
+// There is no shared storage to hold a lease and no agreement between nodes: each node ranks the
+// members that it believes eligible. Nodes with different views may elect two readers for a while.
+// That only raises the load of the source, because versions order what the readers read.
 #pragma once
 
 #include <cstddef>
@@ -13,25 +13,25 @@
 
 namespace copperlead {
 
-// Rank 0 reads, rank 1 is its standby.
+// Rank 0 is the reader, rank 1 its standby.
 inline constexpr std::size_t kReaderRank = 0;
 inline constexpr std::size_t kStandbyRank = 1;
-// Members below this rank look at the source at all.
+// Number of ranks that poll the source.
 inline constexpr std::size_t kPollingRanks = 4;
 
-// @return the weight of a member in its zone's ranking; the highest is reader.
+// @return the weight of a member in the ranking of its zone. The highest weight is the reader's.
 std::uint64_t ReaderScore(const ZoneName& zone, const NodeId& id);
 
 // @return true when `left` ranks ahead of `right` in the zone.
 bool RanksAhead(const ZoneName& zone, const NodeId& left, const NodeId& right);
 
 // @param members of one zone, eligible for the role, in any order; none null.
-// @return the first `count` of the ranking, the reader first; fewer when there are fewer.
+// @return the first `count` members of the ranking, the reader first, or all if there are fewer.
 std::vector<MemberRecord> ElectReaders(const ZoneName& zone,
                                        const std::vector<const MemberRecord*>& members,
                                        std::size_t count);
 
-// @return the place of `id` in the ranking; the number of members when it is not among them.
+// @return the rank of `id`, or the number of members when it is not among them.
 std::size_t ReaderRank(const ZoneName& zone, const std::vector<const MemberRecord*>& members,
                        const NodeId& id);
 
--- a/tests/distribution/election_and_tree_test.cc
+++ b/tests/distribution/election_and_tree_test.cc
@@ -1,4 +1,4 @@
-// Reader election and push tree: pure functions of a member list.
+// Reader election and push tree, which are pure functions of a member list.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -43,9 +43,9 @@
   EXPECT_EQ(after.front(), ranked[kStandbyRank]);
 }
 
-// The places that a push reaches when the member at `start` starts it, sorted.
+// Returns the sorted indices of the members that a push from the member at `start` reaches.
 std::vector<std::size_t> Reached(const PushTree& tree, std::size_t start) {
-  std::vector<std::size_t> reached = tree.Heads();
+  std::vector<std::size_t> reached = tree.TopLevel();
   for (const std::size_t child : tree.ChildrenOf(start)) reached.push_back(child);
   for (std::size_t next = 0; next < reached.size(); ++next) {
     if (reached[next] == start) continue;  // Its children were pushed at the start.
--- a/tests/distribution/leading_members_test.cc
+++ b/tests/distribution/leading_members_test.cc
@@ -1,4 +1,5 @@
-// A rumour of death gives nobody a role; a member's own word that it leaves does.
+// A false report of a member's death does not change the ranks; a member's own announcement that it
+// leaves does.
 #include "distribution/leading_members.h"
 
 #include <gtest/gtest.h>
@@ -25,14 +26,14 @@
     ranking_ = ElectReaders("ank-a", pointers, members.size());
   }
 
-  // The rank to act by of the last in the ranking when those up to `dead` are believed dead.
+  // Stable rank of the last member of the ranking while the first `dead` are believed dead.
   std::size_t RankWithDead(Timestamp now, std::size_t dead) {
     const std::vector<MemberRecord> alive(ranking_.begin() + static_cast<std::ptrdiff_t>(dead),
                                           ranking_.end());
     const std::size_t first = std::min(alive.size(), kPollingRanks);
-    return leading_.LastingRank(now, ranking_.back(), alive.size() - 1,
-                                {alive.begin(), alive.begin() + static_cast<std::ptrdiff_t>(first)},
-                                [&](const NodeId& id) { return id == leaving_; });
+    return leading_.StableRank(now, ranking_.back(), alive.size() - 1,
+                               {alive.begin(), alive.begin() + static_cast<std::ptrdiff_t>(first)},
+                               [&](const NodeId& id) { return id == leaving_; });
   }
 
   std::vector<MemberRecord> ranking_;
@@ -40,19 +41,19 @@
   NodeId leaving_;
 };
 
-TEST_F(LeadingMembersTest, TheDeadCountUntilTheyAreForgotten) {
+TEST_F(LeadingMembersTest, DeadMembersCountUntilTheRetentionTimeEnds) {
   EXPECT_EQ(RankWithDead(At(0), 0), 5U);
-  EXPECT_GE(RankWithDead(At(1), 5), kPollingRanks);  // All others are said to be dead.
+  EXPECT_GE(RankWithDead(At(1), 5), kPollingRanks);  // All others are reported dead.
   EXPECT_GE(RankWithDead(At(9), 5), kPollingRanks);
   EXPECT_EQ(RankWithDead(At(10), 5), 0U);
-  EXPECT_EQ(RankWithDead(At(11), 0), 5U);  // Worse at once.
+  EXPECT_EQ(RankWithDead(At(11), 0), 5U);  // A lower rank applies at once.
 }
 
-TEST_F(LeadingMembersTest, OneThatLeavesCountsNoMore) {
+TEST_F(LeadingMembersTest, ALeavingMemberNoLongerCounts) {
   EXPECT_EQ(RankWithDead(At(0), 3), 2U);
   leaving_ = ranking_[3].id;
   EXPECT_EQ(RankWithDead(At(1), 4), 1U);
-  leaving_.clear();  // Later it is dead like any other.
+  leaving_.clear();  // From now on it counts as dead, not as leaving.
   EXPECT_EQ(RankWithDead(At(2), 4), 1U);
 }
 
