--- a/src/distribution/agent_implementation.cc
+++ b/src/distribution/agent_implementation.cc
@@ -113,11 +113,11 @@
 // The process did not run for a while: what it believed of the fleet is old. It keeps running the
 // version it runs, but holds no role and takes nothing until it has heard the fleet again.
 void Agent::Implementation::WakeFromPause(Timestamp now) {
-  poller_.Drop();
+  poller_.Reset();
   configuration_pusher_.Reset();
   machine_pusher_.Reset();
-  configuration_repairer_.Drop();
-  machine_repairer_.Drop();
+  configuration_repairer_.Reset();
+  machine_repairer_.Reset();
   if (!leaving_) BeginJoin(now);
 }
 
@@ -143,16 +143,16 @@
 }
 
 void Agent::Implementation::PollSource(Timestamp now) {
-  if (leaving_ || !poller_.Due(now)) return;
+  if (leaving_ || !poller_.IsDue(now)) return;
   view_.Refresh(now);
   PollSituation situation;
   situation.has_document = !configuration_.running().none();
   if (!situation.has_document && Repairs(StreamKind::kConfiguration)) {
-    configuration_repairer_.Seek(now);
+    configuration_repairer_.FindTarget(now);
   }
   situation.role_allowed = !gate_.waiting();
   situation.has_peer_contact = gate_.has_peer_contact();
-  situation.peer_ahead = configuration_repairer_.wanted();
+  situation.peer_ahead = configuration_repairer_.has_target();
   situation.has_machines = !machines_.running().none();
   // A node that starts goes by its view alone: it has seen no other.
   const std::size_t stable_rank = view_.StableRank(now);
@@ -163,7 +163,7 @@
   situation.view_changed_at = view_.changed_at();
   for (FetchFromSource& fetch : poller_.Check(now, situation)) {
     if (fetch.stream == StreamKind::kConfiguration) asked_at_ = configuration_.running();
-    fetch.etag = EtagOf(fetch.stream).Ask(StreamOf(fetch.stream).running());
+    fetch.etag = EtagOf(fetch.stream).BeginRead(StreamOf(fetch.stream).running());
     outbox_.Add(std::move(fetch));
   }
 }
@@ -187,7 +187,7 @@
 // document of what runs: this has to end as reading that document would.
 void Agent::Implementation::OnNotModified(const SourceAnswered& event) {
   const DocumentVersion running = StreamOf(event.stream).running();
-  if (!EtagOf(event.stream).Confirm(event.etag, running)) return;
+  if (!EtagOf(event.stream).RecordNotModified(event.etag, running)) return;
   if (event.stream != StreamKind::kConfiguration) return;
   configuration_.ConfirmFromSource();
   poller_.SetBehind(0);
@@ -197,7 +197,7 @@
   if (event.machines == nullptr) return;
   const DocumentVersion& read = event.machines->version;
   const bool taken = machines_.ReceiveFromSource(event.machines);
-  EtagOf(event.stream).Read(event.etag, read, LaterOf(read, machines_.running()));
+  EtagOf(event.stream).RecordDocument(event.etag, read, LaterOf(read, machines_.running()));
   if (!taken) return;
   SeedMembership(now);
   SpreadFromSource(now, machine_pusher_);
@@ -210,7 +210,8 @@
   const SourceFinding finding =
       configuration_.ReceiveFromSource(now, event.configuration, asked_at_);
   EtagOf(event.stream)
-      .Read(event.etag, faulty ? DocumentVersion{} : read, LaterOf(read, configuration_.running()));
+      .RecordDocument(event.etag, faulty ? DocumentVersion{} : read,
+                      LaterOf(read, configuration_.running()));
   const bool behind = finding == SourceFinding::kBehind;
   poller_.SetBehind(behind ? event.configuration->bundle.revision : 0);
   if (finding == SourceFinding::kTaken) SpreadFromSource(now, configuration_pusher_);
@@ -225,7 +226,7 @@
 void Agent::Implementation::On(Timestamp now, const StopRequested& /*event*/) {
   if (leaving_) return;
   leaving_ = true;
-  poller_.Drop();
+  poller_.Reset();
   outbox_.Send(membership_.Leave(now));
 }
 
--- a/src/distribution/agent_messages.cc
+++ b/src/distribution/agent_messages.cc
@@ -33,9 +33,9 @@
   configuration_pusher_.RecordVersion(record.id, record.configuration);
   machine_pusher_.RecordVersion(record.id, sender.machines);
   if (Repairs(StreamKind::kConfiguration)) {
-    configuration_repairer_.Hear(now, record, record.configuration);
+    configuration_repairer_.RecordVersion(now, record, record.configuration);
   }
-  if (Repairs(StreamKind::kMachines)) machine_repairer_.Hear(now, record, sender.machines);
+  if (Repairs(StreamKind::kMachines)) machine_repairer_.RecordVersion(now, record, sender.machines);
 }
 
 void Agent::Implementation::OnBody(Timestamp /*now*/, const MemberRecord& sender,
@@ -53,8 +53,8 @@
     AskForReadable(now, sender, push.transfer, result);
     return;
   }
-  EtagOf(kind).Learn(push.transfer.version, push.source_tag);
-  RepairerOf(kind).HearAnswer(sender.id);
+  EtagOf(kind).RecordPeerEtag(push.transfer.version, push.source_tag);
+  RepairerOf(kind).OnAnswer(sender.id);
   const bool taken = result == ReceiveResult::kTaken;
   if (taken && kind == StreamKind::kMachines) SeedMembership(now);
   const bool settled = !IsNewer(push.transfer.version, stream.running());
@@ -66,7 +66,7 @@
                                            const Transfer& transfer, ReceiveResult result) {
   Repairer& repairer = RepairerOf(transfer.stream);
   if (transfer.whole()) {
-    repairer.HearUnreadable(now);
+    repairer.OnUndecodable(now);
     return;
   }
   const bool lacks_base = result == ReceiveResult::kUnknownBase;
@@ -113,12 +113,12 @@
     outbox_.Send(sender.address, Busy{pull.stream, static_cast<std::uint32_t>(wait.count())});
     return;
   }
-  std::string etag = EtagOf(pull.stream).For(transfer.version);
+  std::string etag = EtagOf(pull.stream).EtagToForward(transfer.version);
   outbox_.Send(sender.address, Push{std::move(transfer), {}, std::move(etag)});
 }
 
 void Agent::Implementation::OnBody(Timestamp now, const MemberRecord& sender, const Busy& busy) {
-  RepairerOf(busy.stream).HearBusy(now, sender.id, Milliseconds(busy.retry_after_ms));
+  RepairerOf(busy.stream).OnBusy(now, sender.id, Milliseconds(busy.retry_after_ms));
 }
 
 void Agent::Implementation::OnBody(Timestamp /*now*/, const MemberRecord& sender,
--- a/src/distribution/pusher.cc
+++ b/src/distribution/pusher.cc
@@ -110,7 +110,7 @@
   push.next_retry = now + settings_.push_retry * (std::int64_t{1} << doublings);
   ++push.attempts;
   Transfer transfer = stream_.TransferFrom(base);
-  std::string etag = etag_.For(transfer.version);
+  std::string etag = etag_.EtagToForward(transfer.version);
   outbox_.Send(push.address, Push{std::move(transfer), push.root, std::move(etag)});
 }
 
--- a/src/distribution/repairer.cc
+++ b/src/distribution/repairer.cc
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr Duration kPullTimeout = Milliseconds(600);
-// After a whole document that did not decode.
-constexpr Duration kUnreadableWait = std::chrono::seconds(5);
-// Nodes that only know of a peer ahead in another zone spread their pulls over this time, so that
-// most of them find the version in their own zone by then.
+// Wait after a whole document that did not decode.
+constexpr Duration kUndecodableWait = std::chrono::seconds(5);
+// Nodes that know a peer ahead of them only in another zone spread their pulls over this time, so
+// that most of them find the version in their own zone before they pull.
 constexpr Duration kOtherZoneSpread = Milliseconds(1000);
 
 }  // namespace
@@ -28,113 +28,115 @@
       outbox_(outbox),
       random_(seed) {}
 
-bool Repairer::InZone(const Peer& peer) const { return peer.zone == membership_.self().zone; }
+bool Repairer::InSameZone(const Peer& peer) const { return peer.zone == membership_.self().zone; }
 
-// How long to leave the version to the push tree before pulling it.
-Duration Repairer::Grace(const Peer& peer) {
+// Returns how long to wait for the push tree to deliver the version before pulling it.
+Duration Repairer::PushGracePeriod(const Peer& peer) {
   const bool pushed = settings_.strategy != Strategy::kGossipOnly;
   const bool first = stream_.running().none();
   const Duration push_time = pushed && !first ? settings_.push_retry : Duration::zero();
-  if (InZone(peer)) return push_time;
+  if (InSameZone(peer)) return push_time;
   if (view_.own_rank() <= kStandbyRank) return 2 * push_time;
   return 2 * push_time + random_.UpTo(kOtherZoneSpread);
 }
 
-void Repairer::Hear(Timestamp now, const MemberRecord& peer, const DocumentVersion& version) {
+void Repairer::RecordVersion(Timestamp now, const MemberRecord& peer,
+                             const DocumentVersion& version) {
   if (!stream_.Wants(version)) return;
-  const Peer heard{peer.id, peer.zone, peer.address, version};
-  if (!source_) {
-    source_ = heard;
-    not_before_ = std::max(not_before_, now + Grace(heard));
+  const Peer candidate{peer.id, peer.zone, peer.address, version};
+  if (!target_) {
+    target_ = candidate;
+    earliest_pull_ = std::max(earliest_pull_, now + PushGracePeriod(candidate));
     return;
   }
-  const bool nearer = InZone(heard) && !InZone(*source_);
-  const bool newer = IsNewer(version, source_->version);
-  if (nearer) not_before_ = std::min(not_before_, now + Grace(heard));
-  if (nearer || newer) source_ = heard;
+  const bool closer = InSameZone(candidate) && !InSameZone(*target_);
+  const bool newer = IsNewer(version, target_->version);
+  if (closer) earliest_pull_ = std::min(earliest_pull_, now + PushGracePeriod(candidate));
+  if (closer || newer) target_ = candidate;
 }
 
-void Repairer::Seek(Timestamp now) {
-  if (source_) return;
-  ChooseAnother();
-  if (source_) not_before_ = std::max(not_before_, now);
+void Repairer::FindTarget(Timestamp now) {
+  if (target_) return;
+  ChooseTarget();
+  if (target_) earliest_pull_ = std::max(earliest_pull_, now);
 }
 
 void Repairer::PullFrom(Timestamp now, const MemberRecord& peer, const DocumentVersion& version,
                         const DocumentVersion& have) {
-  source_ = Peer{peer.id, peer.zone, peer.address, version};
-  Ask(now, have);
+  target_ = Peer{peer.id, peer.zone, peer.address, version};
+  SendPull(now, have);
 }
 
-void Repairer::HearBusy(Timestamp now, const NodeId& from, Duration retry_after) {
-  if (!pull_ || pull_->asked != from) return;
+void Repairer::OnBusy(Timestamp now, const NodeId& from, Duration retry_after) {
+  if (!pull_ || pull_->peer != from) return;
   pull_.reset();
-  not_before_ = now + retry_after;
-  ChooseAnother();
+  earliest_pull_ = now + retry_after;
+  ChooseTarget();
 }
 
-void Repairer::HearUnreadable(Timestamp now) {
+void Repairer::OnUndecodable(Timestamp now) {
   pull_.reset();
-  not_before_ = now + kUnreadableWait;
-  ChooseAnother();
+  earliest_pull_ = now + kUndecodableWait;
+  ChooseTarget();
 }
 
-void Repairer::HearAnswer(const NodeId& from) {
-  if (pull_ && pull_->asked == from) pull_.reset();
-  ForgetIfDone();
+void Repairer::OnAnswer(const NodeId& from) {
+  if (pull_ && pull_->peer == from) pull_.reset();
+  ClearIfSatisfied();
 }
 
 void Repairer::Tick(Timestamp now) {
-  ForgetIfDone();
-  if (!source_) return;
+  ClearIfSatisfied();
+  if (!target_) return;
   if (pull_) {
     if (now < pull_->deadline) return;
     pull_.reset();
-    ChooseAnother();
+    ChooseTarget();
   }
-  if (now >= not_before_) Ask(now, stream_.running());
+  if (now >= earliest_pull_) SendPull(now, stream_.running());
 }
 
 Timestamp Repairer::NextDeadline() const {
-  if (!source_) return Timestamp::max();
-  return pull_ ? pull_->deadline : not_before_;
+  if (!target_) return Timestamp::max();
+  return pull_ ? pull_->deadline : earliest_pull_;
 }
 
-void Repairer::Drop() {
-  source_.reset();
+void Repairer::Reset() {
+  target_.reset();
   pull_.reset();
-  not_before_ = Timestamp{};
+  earliest_pull_ = Timestamp{};
 }
 
-void Repairer::Ask(Timestamp now, const DocumentVersion& have) {
-  pull_ = Pull{source_->id, now + kPullTimeout};
-  outbox_.Send(source_->address, copperlead::Pull{stream_.kind(), have});
+void Repairer::SendPull(Timestamp now, const DocumentVersion& have) {
+  pull_ = Pull{target_->id, now + kPullTimeout};
+  outbox_.Send(target_->address, copperlead::Pull{stream_.kind(), have});
 }
 
-// Picks a random member that is ahead, in the own zone if there is one. Looks at all members, so
-// only used when a peer did not answer or was busy.
-void Repairer::ChooseAnother() {
-  std::vector<Peer> near;
-  std::vector<Peer> far;
+// Picks a random member that is ahead, from this node's zone if there is one. It visits all
+// members, so it is used only when no peer is known, or when one did not answer, was busy or sent a
+// document that did not decode.
+void Repairer::ChooseTarget() {
+  std::vector<Peer> same_zone;
+  std::vector<Peer> other_zones;
   for (const auto& [id, member] : membership_.members()) {
     const bool live = member.record.state == MemberState::kAlive;
     const bool configuration = stream_.kind() == StreamKind::kConfiguration;
     const DocumentVersion& version = configuration ? member.record.configuration : member.machines;
     if (!live || !stream_.Wants(version)) continue;
     const Peer peer{id, member.record.zone, member.record.address, version};
-    (InZone(peer) ? near : far).push_back(peer);
+    (InSameZone(peer) ? same_zone : other_zones).push_back(peer);
   }
-  const std::vector<Peer>& choice = near.empty() ? far : near;
+  const std::vector<Peer>& choice = same_zone.empty() ? other_zones : same_zone;
   if (choice.empty()) {
-    source_.reset();  // The next message of one that is ahead starts anew.
+    target_.reset();  // The next message from a peer that is ahead sets it again.
     return;
   }
-  source_ = choice[random_.Below(choice.size())];
+  target_ = choice[random_.Below(choice.size())];
 }
 
-void Repairer::ForgetIfDone() {
-  if (source_ && !stream_.Wants(source_->version)) {
-    source_.reset();
+void Repairer::ClearIfSatisfied() {
+  if (target_ && !stream_.Wants(target_->version)) {
+    target_.reset();
     pull_.reset();
   }
 }
--- a/src/distribution/repairer.h
+++ b/src/distribution/repairer.h
@@ -1,5 +1,5 @@
-// Anti-entropy: every message tells what its sender runs; a node that is behind pulls from one that
-// is ahead, its own zone first, one pull at a time.
+// Anti-entropy: every message carries the versions that its sender runs, and a node that is behind
+// pulls from a peer that is ahead. It prefers peers of its own zone and has one pull outstanding.
 #pragma once
 
 #include <optional>
@@ -17,31 +17,31 @@
   Repairer(const AgentSettings& settings, const Membership& membership, const FleetView& view,
            DocumentStream& stream, Outbox& outbox, std::uint64_t seed);
 
-  // A peer said that it runs `version`.
-  void Hear(Timestamp now, const MemberRecord& peer, const DocumentVersion& version);
-  // Looks through the member list for a peer that is ahead, unless one is known. Costs O(n): for
-  // nodes that run nothing yet.
-  void Seek(Timestamp now);
-  // A peer's push could not be applied: ask it for what can be.
-  // @param have the base it should start from; none: the whole document.
+  // Call when a peer reports that it runs `version`.
+  void RecordVersion(Timestamp now, const MemberRecord& peer, const DocumentVersion& version);
+  // Searches the member list for a peer that is ahead, unless one is known. Costs O(n), so it is
+  // meant for nodes that run nothing yet.
+  void FindTarget(Timestamp now);
+  // Pulls from a peer whose push could not be applied.
+  // @param have base version for the delta; none for the whole document.
   void PullFrom(Timestamp now, const MemberRecord& peer, const DocumentVersion& version,
                 const DocumentVersion& have);
-  // The peer that was asked wants to be asked later.
-  void HearBusy(Timestamp now, const NodeId& from, Duration retry_after);
-  // What the peer sent whole did not decode: ask another, not at once.
-  void HearUnreadable(Timestamp now);
-  // Any answer to a pull arrived: the next one may go out.
-  void HearAnswer(const NodeId& from);
+  // Call when a peer answers that it is busy. The next pull goes out after `retry_after`.
+  void OnBusy(Timestamp now, const NodeId& from, Duration retry_after);
+  // Call when a whole document did not decode. Another peer is chosen, and the next pull waits.
+  void OnUndecodable(Timestamp now);
+  // Call when an answer to a pull arrived, so that the next pull may go out.
+  void OnAnswer(const NodeId& from);
 
   void Tick(Timestamp now);
   Timestamp NextDeadline() const;
-  // Forgets what is outstanding and who is ahead.
-  void Drop();
-  // True while a peer is known to run something that this node wants.
-  bool wanted() const { return source_.has_value(); }
+  // Forgets the outstanding pull and the peer that is ahead.
+  void Reset();
+  // True while a peer is known to run a version that this node wants.
+  bool has_target() const { return target_.has_value(); }
 
  private:
-  // A peer that is ahead.
+  // A peer that runs a version which this node wants.
   struct Peer {
     NodeId id;
     ZoneName zone;
@@ -49,15 +49,15 @@
     DocumentVersion version;
   };
   struct Pull {
-    NodeId asked;
+    NodeId peer;
     Timestamp deadline{};
   };
 
-  bool InZone(const Peer& peer) const;
-  Duration Grace(const Peer& peer);
-  void Ask(Timestamp now, const DocumentVersion& have);
-  void ChooseAnother();
-  void ForgetIfDone();
+  bool InSameZone(const Peer& peer) const;
+  Duration PushGracePeriod(const Peer& peer);
+  void SendPull(Timestamp now, const DocumentVersion& have);
+  void ChooseTarget();
+  void ClearIfSatisfied();
 
   const AgentSettings& settings_;
   const Membership& membership_;
@@ -65,9 +65,9 @@
   DocumentStream& stream_;
   Outbox& outbox_;
   RandomSource random_;
-  std::optional<Peer> source_;  // Whom to ask next.
-  std::optional<Pull> pull_;    // Outstanding.
-  Timestamp not_before_{};      // Of the next pull.
+  std::optional<Peer> target_;  // Peer for the next pull.
+  std::optional<Pull> pull_;    // Outstanding pull.
+  Timestamp earliest_pull_{};   // Earliest time of the next pull.
 };
 
 }  // namespace copperlead
--- a/src/distribution/source_etag.cc
+++ b/src/distribution/source_etag.cc
@@ -7,43 +7,43 @@
 namespace copperlead {
 namespace {
 
-// Epochs are the fleet's, not the source's: a document is the same whatever its epoch.
+// Compares without the epoch, because the fleet counts epochs and the source does not know them.
 bool SameDocument(const DocumentVersion& left, const DocumentVersion& right) {
   return !left.none() && left.major == right.major && left.content == right.content;
 }
 
 }  // namespace
 
-bool SourceEtag::IsLearned(const DocumentVersion& version) const {
-  return !learned_.etag.empty() && learned_.version == version;
+bool SourceEtag::HasPeerEtagFor(const DocumentVersion& version) const {
+  return !peer_.etag.empty() && peer_.version == version;
 }
 
-const std::string& SourceEtag::Ask(const DocumentVersion& running) {
-  asked_ = IsLearned(running) ? learned_ : Entry{};
-  return asked_.etag.empty() ? own_.etag : asked_.etag;
+const std::string& SourceEtag::BeginRead(const DocumentVersion& running) {
+  sent_ = HasPeerEtagFor(running) ? peer_ : Entry{};
+  return sent_.etag.empty() ? own_.etag : sent_.etag;
 }
 
-void SourceEtag::Read(const std::string& etag, const DocumentVersion& read,
-                      const DocumentVersion& known) {
+void SourceEtag::RecordDocument(const std::string& etag, const DocumentVersion& read,
+                                const DocumentVersion& known) {
   SetOwn({etag, read}, known);
 }
 
-bool SourceEtag::Confirm(const std::string& etag, const DocumentVersion& running) {
-  if (asked_.etag.empty() || asked_.etag != etag) return false;
-  const Entry confirmed = std::exchange(asked_, Entry{});
+bool SourceEtag::RecordNotModified(const std::string& etag, const DocumentVersion& running) {
+  if (sent_.etag.empty() || sent_.etag != etag) return false;
+  const Entry confirmed = std::exchange(sent_, Entry{});
   SetOwn(confirmed, confirmed.version);
   return confirmed.version == running;
 }
 
-void SourceEtag::Learn(const DocumentVersion& version, const std::string& etag) {
-  if (etag.empty() || !IsNewer(version, known_) || !IsNewer(version, learned_.version)) return;
-  learned_ = {etag, version};
+void SourceEtag::RecordPeerEtag(const DocumentVersion& version, const std::string& etag) {
+  if (etag.empty() || !IsNewer(version, known_) || !IsNewer(version, peer_.version)) return;
+  peer_ = {etag, version};
 }
 
-std::string SourceEtag::For(const DocumentVersion& version) const {
+std::string SourceEtag::EtagToForward(const DocumentVersion& version) const {
   std::string etag;
-  if (IsLearned(version)) {
-    etag = learned_.etag;
+  if (HasPeerEtagFor(version)) {
+    etag = peer_.etag;
   } else if (SameDocument(own_.version, version)) {
     etag = own_.etag;
   }
@@ -53,7 +53,7 @@
 void SourceEtag::SetOwn(Entry own, const DocumentVersion& known) {
   own_ = std::move(own);
   known_ = known;
-  if (!IsNewer(learned_.version, known_)) learned_ = {};
+  if (!IsNewer(peer_.version, known_)) peer_ = {};
 }
 
 }  // namespace copperlead
--- a/tests/distribution/source_poller_test.cc
+++ b/tests/distribution/source_poller_test.cc
@@ -1,4 +1,4 @@
-// When nodes read the source, by rank and zone.
+// The intervals in which nodes read the source, by rank and zone.
 #include "distribution/source_poller.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 constexpr Timestamp kStart{std::chrono::seconds(1000)};
 
-// Configuration reads of one node in each of `intervals` intervals of a second.
+// Returns the intervals, of one second each, in which one node reads the source.
 std::set<int> IntervalsRead(std::size_t zone_index, std::size_t rank, int intervals) {
   AgentSettings settings;
   SourcePoller poller(settings, 1, 1, kStart - std::chrono::seconds(100));
