--- a/src/distribution/agent.cc
+++ b/src/distribution/agent.cc
@@ -36,13 +36,13 @@
 bool Agent::is_reader() const { return implementation_->poller_.is_reader(); }
 
 bool Agent::ready() const {
-  // After a pause the node goes on serving what it runs.
+  // After a pause the node continues to serve the running bundle.
   return running() != nullptr;
 }
 
 const std::optional<RefusedVersion>& Agent::fleet_refused() const {
   return implementation_->fleet_refusal_.known();
 }
-bool Agent::floor_unverified() const { return implementation_->gate_.unverified(); }
+bool Agent::floor_unverified() const { return implementation_->join_gate_.unverified(); }
 
 }  // namespace copperlead
--- a/src/distribution/agent_implementation.cc
+++ b/src/distribution/agent_implementation.cc
@@ -7,11 +7,12 @@
 namespace copperlead {
 namespace {
 
-// Probe intervals for which a member believed dead still counts in the ranking of readers: enough
-// for it to hear of the rumour and to refute it. Its standbys make up for it meanwhile.
+// Number of probe intervals for which a member believed dead still counts in the ranking of
+// readers. This is long enough for the member to receive a false report of its death and to refute
+// it. In the meantime its standbys replace it.
 constexpr std::int64_t kLeaderRetentionProbes = 10;
 
-// Distinct streams of random numbers from one seed.
+// Salts that derive distinct random sequences from one seed.
 enum SeedSalt : std::uint64_t {
   kMembershipSeed = 1,
   kPollerSeed,
@@ -28,7 +29,7 @@
   return nodes;
 }
 
-// True when the lists name the same nodes; most changes are about back ends.
+// Returns true when the lists contain the same nodes. Most changes of the list concern back ends.
 bool SameNodes(const MachineList& left, const MachineList& right) {
   return NodesOf(left) == NodesOf(right);
 }
@@ -69,7 +70,7 @@
                         Salted(seed, kMachineRepairSeed)),
       poller_(settings_, contacts.size(), Salted(seed, kPollerSeed), now),
       whole_transfer_limiter_(settings_.whole_transfers_per_second),
-      gate_(settings_.join_wait, settings_.join_quorum),
+      join_gate_(settings_.join_wait, settings_.join_quorum),
       deadline_(now) {
   membership_.AddContacts(contacts);
 }
@@ -78,17 +79,18 @@
   if (!started_) {
     Start(now);
   } else if (now > deadline_ + settings_.pause_threshold) {
-    WakeFromPause(now);
+    ResetAfterPause(now);
   }
   std::visit([&](const auto& typed) { On(now, typed); }, event);
-  Pursue(now);
+  RunDueWork(now);
   membership_.SetVersions(configuration_.running(), machines_.running());
   UpdateRefusal();
   UpdateDeadline(now);
   return outbox_.has_messages() ? outbox_.Take(membership_.Summary()) : outbox_.Take();
 }
 
-// A floor is this node's own; the other refusals say something of the version itself.
+// Refusals because of the floor concern this node only and are not reported to the fleet. The other
+// refusals concern the version itself.
 void Agent::Implementation::UpdateRefusal() {
   fleet_refusal_.SetRunning(configuration_.running());
   const std::optional<LedgerEntry>& own = configuration_.ledger().last_refused();
@@ -106,13 +108,13 @@
 
 void Agent::Implementation::BeginJoin(Timestamp now) {
   configuration_.ledger().SetJoining(true);
-  gate_.Begin(now);
+  join_gate_.Begin(now);
   outbox_.Send(membership_.Join(now));
 }
 
-// The process did not run for a while: what it believed of the fleet is old. It keeps running the
-// version it runs, but holds no role and takes nothing until it has heard the fleet again.
-void Agent::Implementation::WakeFromPause(Timestamp now) {
+// The process was paused, so its view of the fleet is outdated. It continues to run its version,
+// but has no role and takes no version until the new wait for peers ends.
+void Agent::Implementation::ResetAfterPause(Timestamp now) {
   poller_.Reset();
   configuration_pusher_.Reset();
   machine_pusher_.Reset();
@@ -125,9 +127,9 @@
   if (now >= membership_.NextDeadline()) outbox_.Send(membership_.Tick(now));
 }
 
-// What is due after any event.
-void Agent::Implementation::Pursue(Timestamp now) {
-  UpdateGate(now);
+// Does the work that may be due after any event.
+void Agent::Implementation::RunDueWork(Timestamp now) {
+  UpdateJoinGate(now);
   configuration_pusher_.Tick(now);
   machine_pusher_.Tick(now);
   configuration_repairer_.Tick(now);
@@ -135,11 +137,11 @@
   PollSource(now);
 }
 
-void Agent::Implementation::UpdateGate(Timestamp now) {
-  if (!gate_.Update(now)) return;
+void Agent::Implementation::UpdateJoinGate(Timestamp now) {
+  if (!join_gate_.Update(now)) return;
   configuration_.ledger().SetJoining(false);
   const SourceFinding finding = configuration_.OfferHeldAgain(now);
-  if (finding == SourceFinding::kTaken) SpreadFromSource(now, configuration_pusher_);
+  if (finding == SourceFinding::kTaken) PushFromSource(now, configuration_pusher_);
 }
 
 void Agent::Implementation::PollSource(Timestamp now) {
@@ -150,11 +152,11 @@
   if (!situation.has_document && Repairs(StreamKind::kConfiguration)) {
     configuration_repairer_.FindTarget(now);
   }
-  situation.role_allowed = !gate_.waiting();
-  situation.has_peer_contact = gate_.has_peer_contact();
+  situation.role_allowed = !join_gate_.waiting();
+  situation.has_peer_contact = join_gate_.has_peer_contact();
   situation.peer_ahead = configuration_repairer_.has_target();
   situation.has_machines = !machines_.running().none();
-  // A node that starts goes by its view alone: it has seen no other.
+  // A node that starts uses the rank of its current view, because it has no earlier one.
   const std::size_t stable_rank = view_.StableRank(now);
   situation.rank = situation.has_document ? stable_rank : view_.own_rank();
   situation.zone_index = view_.zone_index();
@@ -162,7 +164,7 @@
   situation.live_count = membership_.LiveCount();
   situation.view_changed_at = view_.changed_at();
   for (FetchFromSource& fetch : poller_.Check(now, situation)) {
-    if (fetch.stream == StreamKind::kConfiguration) asked_at_ = configuration_.running();
+    if (fetch.stream == StreamKind::kConfiguration) version_at_read_ = configuration_.running();
     fetch.etag = EtagOf(fetch.stream).BeginRead(StreamOf(fetch.stream).running());
     outbox_.Add(std::move(fetch));
   }
@@ -177,14 +179,15 @@
   if (event.status == SourceAnswered::Status::kNotModified) {
     OnNotModified(event);
   } else if (event.stream == StreamKind::kMachines) {
-    TakeMachines(now, event);
+    HandleSourceMachines(now, event);
   } else {
-    TakeConfiguration(now, event);
+    HandleSourceConfiguration(now, event);
   }
 }
 
-// A 304 to this node's own ETag changes nothing. One to a peer's says that the source serves the
-// document of what runs: this has to end as reading that document would.
+// A 304 for this node's own ETag changes nothing. A 304 for a peer's ETag means that the source
+// serves the document of the running version, and must have the same effect as reading that
+// document.
 void Agent::Implementation::OnNotModified(const SourceAnswered& event) {
   const DocumentVersion running = StreamOf(event.stream).running();
   if (!EtagOf(event.stream).RecordNotModified(event.etag, running)) return;
@@ -193,31 +196,31 @@
   poller_.SetBehind(0);
 }
 
-void Agent::Implementation::TakeMachines(Timestamp now, const SourceAnswered& event) {
+void Agent::Implementation::HandleSourceMachines(Timestamp now, const SourceAnswered& event) {
   if (event.machines == nullptr) return;
   const DocumentVersion& read = event.machines->version;
   const bool taken = machines_.ReceiveFromSource(event.machines);
   EtagOf(event.stream).RecordDocument(event.etag, read, LaterOf(read, machines_.running()));
   if (!taken) return;
   SeedMembership(now);
-  SpreadFromSource(now, machine_pusher_);
+  PushFromSource(now, machine_pusher_);
 }
 
-void Agent::Implementation::TakeConfiguration(Timestamp now, const SourceAnswered& event) {
+void Agent::Implementation::HandleSourceConfiguration(Timestamp now, const SourceAnswered& event) {
   if (event.configuration == nullptr) return;
   const DocumentVersion& read = event.configuration->bundle.version;
   const bool faulty = !event.configuration->faults.empty();
   const SourceFinding finding =
-      configuration_.ReceiveFromSource(now, event.configuration, asked_at_);
+      configuration_.ReceiveFromSource(now, event.configuration, version_at_read_);
   EtagOf(event.stream)
       .RecordDocument(event.etag, faulty ? DocumentVersion{} : read,
                       LaterOf(read, configuration_.running()));
   const bool behind = finding == SourceFinding::kBehind;
   poller_.SetBehind(behind ? event.configuration->bundle.revision : 0);
-  if (finding == SourceFinding::kTaken) SpreadFromSource(now, configuration_pusher_);
+  if (finding == SourceFinding::kTaken) PushFromSource(now, configuration_pusher_);
 }
 
-void Agent::Implementation::SpreadFromSource(Timestamp now, Pusher& pusher) {
+void Agent::Implementation::PushFromSource(Timestamp now, Pusher& pusher) {
   if (!Pushes()) return;
   view_.Refresh(now);
   pusher.PushToAllZones(now);
@@ -231,8 +234,8 @@
 }
 
 void Agent::Implementation::SeedMembership(Timestamp now) {
-  const MachineListPointer before = std::exchange(seeded_, machines_.list());
-  if (before != nullptr && SameNodes(*before, *seeded_)) return;
+  const MachineListPointer before = std::exchange(seeded_list_, machines_.list());
+  if (before != nullptr && SameNodes(*before, *seeded_list_)) return;
   std::vector<MemberRecord> seeds;
   for (const Machine& machine : machines_.list()->machines) {
     if (machine.kind != MachineKind::kNode || machine.id == membership_.self().id) continue;
@@ -245,20 +248,21 @@
     seeds.push_back(std::move(record));
   }
   membership_.AddSeeds(now, seeds);
-  if (!seeds.empty()) RejoinForSeeds(now);
+  if (!seeds.empty()) RejoinAfterSeeding(now);
 }
 
-// The list named nodes while nobody had been heard: they are asked before anything is activated.
-void Agent::Implementation::RejoinForSeeds(Timestamp now) {
-  const bool pointless = gate_.has_peer_contact() || !configuration_.running().none();
-  if (pointless || rejoined_for_seeds_) return;
-  rejoined_for_seeds_ = true;
+// Repeats the join when the list names nodes while no peer has sent a message and nothing runs, so
+// that these nodes are asked before anything is activated.
+void Agent::Implementation::RejoinAfterSeeding(Timestamp now) {
+  const bool unneeded = join_gate_.has_peer_contact() || !configuration_.running().none();
+  if (unneeded || rejoined_after_seeding_) return;
+  rejoined_after_seeding_ = true;
   BeginJoin(now);
 }
 
 void Agent::Implementation::UpdateDeadline(Timestamp now) {
   Timestamp deadline = membership_.NextDeadline();
-  deadline = std::min(deadline, gate_.NextDeadline());
+  deadline = std::min(deadline, join_gate_.NextDeadline());
   deadline = std::min(deadline, configuration_pusher_.NextDeadline());
   deadline = std::min(deadline, machine_pusher_.NextDeadline());
   deadline = std::min(deadline, configuration_repairer_.NextDeadline());
@@ -289,7 +293,7 @@
          settings_.strategy != Strategy::kEveryNodePolls;
 }
 
-// The baselines without repair still hand a node that has nothing its first document.
+// The strategies without repair still deliver its first document to a node that has none.
 bool Agent::Implementation::Repairs(StreamKind kind) {
   switch (settings_.strategy) {
     case Strategy::kFull:
--- a/src/distribution/agent_implementation.h
+++ b/src/distribution/agent_implementation.h
@@ -1,4 +1,4 @@
-// The parts of an Agent and how events reach them. Private to the distribution module.
+// The parts of an Agent and the dispatch of events to them. Private to the distribution module.
 #pragma once
 
 #include <array>
@@ -41,14 +41,14 @@
   Repairer machine_repairer_;
   SourcePoller poller_;
   TransferRateLimiter whole_transfer_limiter_;
-  JoinGate gate_;
-  Timestamp deadline_;  // The last one given out.
+  JoinGate join_gate_;
+  Timestamp deadline_;  // Deadline returned last.
   bool started_ = false;
   bool leaving_ = false;
-  bool rejoined_for_seeds_ = false;
-  MachineListPointer seeded_;  // The list whose nodes membership was last told.
-  DocumentVersion asked_at_;   // What ran when the source was last asked.
-  NodeId status_cursor_;       // Last member that was queried.
+  bool rejoined_after_seeding_ = false;
+  MachineListPointer seeded_list_;   // List whose nodes were last added to membership.
+  DocumentVersion version_at_read_;  // Version that ran when the source was last read.
+  NodeId status_cursor_;             // Last member that was queried.
 
  private:
   void On(Timestamp now, const TimerFired& event);
@@ -66,25 +66,25 @@
   template <class Other>
   void OnBody(Timestamp /*now*/, const MemberRecord& /*sender*/, const Other& /*body*/) {}
 
-  void AskForReadable(Timestamp now, const MemberRecord& sender, const Transfer& transfer,
-                      ReceiveResult result);
-  bool MayStartInZone(Timestamp now);
-  void HandOn(Timestamp now, const MemberRecord& sender, const Push& push, bool taken);
+  void RequestDecodable(Timestamp now, const MemberRecord& sender, const Transfer& transfer,
+                        ReceiveResult result);
+  bool MayStartPushInZone(Timestamp now);
+  void ForwardPush(Timestamp now, const MemberRecord& sender, const Push& push, bool taken);
 
   void Start(Timestamp now);
-  void WakeFromPause(Timestamp now);
+  void ResetAfterPause(Timestamp now);
   void BeginJoin(Timestamp now);
-  void UpdateGate(Timestamp now);
+  void UpdateJoinGate(Timestamp now);
   void UpdateRefusal();
-  void HearSummary(Timestamp now, const NodeSummary& sender);
-  void Pursue(Timestamp now);
+  void ProcessSummary(Timestamp now, const NodeSummary& sender);
+  void RunDueWork(Timestamp now);
   void PollSource(Timestamp now);
   void OnNotModified(const SourceAnswered& event);
-  void TakeMachines(Timestamp now, const SourceAnswered& event);
-  void TakeConfiguration(Timestamp now, const SourceAnswered& event);
-  void SpreadFromSource(Timestamp now, Pusher& pusher);
+  void HandleSourceMachines(Timestamp now, const SourceAnswered& event);
+  void HandleSourceConfiguration(Timestamp now, const SourceAnswered& event);
+  void PushFromSource(Timestamp now, Pusher& pusher);
   void SeedMembership(Timestamp now);
-  void RejoinForSeeds(Timestamp now);
+  void RejoinAfterSeeding(Timestamp now);
   void UpdateDeadline(Timestamp now);
 
   DocumentStream& StreamOf(StreamKind kind);
--- a/src/distribution/agent_messages.cc
+++ b/src/distribution/agent_messages.cc
@@ -1,4 +1,4 @@
-// How an Agent takes messages of peers and answers operators' questions about them.
+// The part of an Agent that handles messages from peers and status requests from operators.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -11,7 +11,7 @@
 namespace copperlead {
 namespace {
 
-// Members asked for their summary per StatusRequested.
+// Maximum number of members that are asked for their summary per StatusRequested.
 constexpr std::size_t kMaxStatusQueries = 50;
 
 }  // namespace
@@ -21,15 +21,15 @@
   outbox_.Send(membership_.Handle(now, event.from, message));
   MemberRecord sender = message.sender.record;
   if (sender.id == membership_.self().id) return;
-  gate_.RecordMessage();
-  HearSummary(now, message.sender);
+  join_gate_.RecordMessage();
+  ProcessSummary(now, message.sender);
   std::visit([&](const auto& body) { OnBody(now, sender, body); }, message.body);
 }
 
-void Agent::Implementation::HearSummary(Timestamp now, const NodeSummary& sender) {
+void Agent::Implementation::ProcessSummary(Timestamp now, const NodeSummary& sender) {
   const MemberRecord& record = sender.record;
   if (sender.refused) fleet_refusal_.Record(*sender.refused);
-  if (gate_.waiting()) configuration_.ledger().RaiseFloor(record.configuration);
+  if (join_gate_.waiting()) configuration_.ledger().RaiseFloor(record.configuration);
   configuration_pusher_.RecordVersion(record.id, record.configuration);
   machine_pusher_.RecordVersion(record.id, sender.machines);
   if (Repairs(StreamKind::kConfiguration)) {
@@ -40,7 +40,7 @@
 
 void Agent::Implementation::OnBody(Timestamp /*now*/, const MemberRecord& sender,
                                    const JoinReply& reply) {
-  gate_.RecordReply(sender.id);
+  join_gate_.RecordReply(sender.id);
   configuration_.ledger().RaiseFloor(reply.remembered);
   configuration_.ledger().RaiseFloor(membership_.HighestHeard());
 }
@@ -50,7 +50,7 @@
   DocumentStream& stream = StreamOf(kind);
   const ReceiveResult result = stream.Receive(now, push.transfer, sender.id);
   if (result == ReceiveResult::kUnknownBase || result == ReceiveResult::kUndecodable) {
-    AskForReadable(now, sender, push.transfer, result);
+    RequestDecodable(now, sender, push.transfer, result);
     return;
   }
   EtagOf(kind).RecordPeerEtag(push.transfer.version, push.source_tag);
@@ -59,11 +59,11 @@
   if (taken && kind == StreamKind::kMachines) SeedMembership(now);
   const bool settled = !IsNewer(push.transfer.version, stream.running());
   if (settled) outbox_.Send(sender.address, PushAck{kind, stream.running()});
-  if (stream.running() == push.transfer.version) HandOn(now, sender, push, taken);
+  if (stream.running() == push.transfer.version) ForwardPush(now, sender, push, taken);
 }
 
-void Agent::Implementation::AskForReadable(Timestamp now, const MemberRecord& sender,
-                                           const Transfer& transfer, ReceiveResult result) {
+void Agent::Implementation::RequestDecodable(Timestamp now, const MemberRecord& sender,
+                                             const Transfer& transfer, ReceiveResult result) {
   Repairer& repairer = RepairerOf(transfer.stream);
   if (transfer.whole()) {
     repairer.OnUndecodable(now);
@@ -74,24 +74,24 @@
   repairer.PullFrom(now, sender, transfer.version, have);
 }
 
-// Readers and standbys are the ones that other zones choose. Anyone else was taken for a member of
-// the sender's zone, by a wrong entry of the machine list.
-bool Agent::Implementation::MayStartInZone(Timestamp now) {
+// Other zones choose the reader or a standby of this zone. Any other node receives such a push only
+// if a wrong entry of the machine list made the sender take it for a member of its own zone.
+bool Agent::Implementation::MayStartPushInZone(Timestamp now) {
   view_.Refresh(now);
   return view_.own_rank() <= kStandbyRank;
 }
 
-// Spreads what a peer sent. A version that came from another zone is started here: by whoever was
-// chosen for it there, or by the reader when it had to pull it.
-void Agent::Implementation::HandOn(Timestamp now, const MemberRecord& sender, const Push& push,
-                                   bool taken) {
+// Forwards a version that a peer sent. For a version from another zone, the push in this zone is
+// started by the node that the other zone chose, or by the reader if it had to pull the version.
+void Agent::Implementation::ForwardPush(Timestamp now, const MemberRecord& sender, const Push& push,
+                                        bool taken) {
   if (!Pushes() || leaving_) return;
   Pusher& pusher = PusherOf(push.transfer.stream);
   const bool from_other_zone = sender.zone != membership_.self().zone;
   const bool pulled = push.root.empty();
   if (pulled) {
     if (taken && from_other_zone && poller_.is_reader()) pusher.PushInZone(now);
-  } else if (from_other_zone && MayStartInZone(now)) {
+  } else if (from_other_zone && MayStartPushInZone(now)) {
     pusher.PushInZone(now);
   } else {
     pusher.Forward(now, push.root);
@@ -126,8 +126,8 @@
   outbox_.Send(sender.address, StatusReply{});
 }
 
-// Asks members that may lag for their summary, a bounded number at a time in turn. One that is
-// known to run the newest version need not be asked: it never falls below.
+// Asks members that may lag for their summary, a bounded number per request and in turn. A member
+// that is known to run this node's version is not asked, because it never runs a lower one.
 void Agent::Implementation::On(Timestamp /*now*/, const StatusRequested& /*event*/) {
   const std::map<NodeId, Member>& members = membership_.members();
   auto next = members.upper_bound(status_cursor_);
--- a/tests/distribution/agent_test.cc
+++ b/tests/distribution/agent_test.cc
@@ -1,4 +1,4 @@
-// Promises of the deciding code, each on a small fleet in virtual time with faults.
+// Guarantees of the Agent, each tested on a small fleet in virtual time with faults.
 #include "distribution/agent.h"
 
 #include <gmock/gmock.h>
@@ -72,7 +72,7 @@
   }
 }
 
-TEST(AgentTest, OneEditReachesAllWithinAPollDespiteLoss) {
+TEST(AgentTest, OneEditReachesAllNodesWithinThreeSecondsDespiteLoss) {
   SettledFleet settled;
   TestFleet& fleet = settled.fleet;
   fleet.loss = 0.05;
@@ -93,7 +93,7 @@
     fleet.RunFor(seconds(5));
     fleet.total_reads = 0;
     fleet.RunFor(seconds(60));
-    // Two readers each second, and their standbys at a quarter and a sixteenth of that.
+    // Two readers poll each second, and their standbys at a quarter and a sixteenth of that rate.
     EXPECT_LE(fleet.total_reads, 170U) << nodes_per_zone;
     EXPECT_GE(fleet.total_reads, 115U) << nodes_per_zone;
   }
@@ -111,14 +111,14 @@
   }
 }
 
-TEST(AgentTest, AVersionIsFetchedOnceAndItsTagGoesWithIt) {
+TEST(AgentTest, AVersionIsReadFromTheSourceOnceAndItsEtagIsForwarded) {
   SettledFleet settled;
   TestFleet& fleet = settled.fleet;
-  fleet.full_answers = 0;
+  fleet.document_answers = 0;
   fleet.Publish({.revision = 2, .new_weight = 2});
   ASSERT_TRUE(fleet.RunUntil([&] { return fleet.AllRun(2); }, seconds(5)));
-  fleet.RunFor(seconds(20));  // Every reader and standby has polled since.
-  EXPECT_EQ(fleet.full_answers, 1U);
+  fleet.RunFor(seconds(20));  // Every reader and standby polls in this time.
+  EXPECT_EQ(fleet.document_answers, 1U);
 }
 
 TEST(AgentTest, ASourceBackInTimeIsRefusedLoudlyOnce) {
@@ -134,14 +134,14 @@
   EXPECT_EQ(reader.agent->source().kind, SourceState::Kind::kBehind);
   EXPECT_EQ(reader.agent->source().behind_revision, 3U);
   EXPECT_GE(fleet.CountReports(ErrorKind::kRevisionBehind), 3U);
-  fleet.Publish({.revision = 3, .new_weight = 3});  // Another ETag, the same content.
+  fleet.Publish({.revision = 3, .new_weight = 3});  // This has another ETag but the same content.
   fleet.RunFor(seconds(10));
   for (const auto& [id, node] : fleet.nodes()) {
     EXPECT_LE(TestFleet::CountReports(*node, ErrorKind::kRevisionBehind), 1U) << id;
   }
   fleet.Publish({.revision = 6, .new_weight = 3});
   EXPECT_TRUE(fleet.RunUntil([&] { return fleet.AllRun(6); }, seconds(5)));
-  fleet.RunFor(seconds(2));  // Until the readers themselves have polled again.
+  fleet.RunFor(seconds(2));  // The readers themselves poll again in this time.
   for (const char* zone : {"zone-a", "zone-b", "zone-c"}) {
     const SourceState& source = fleet.node(ReaderOf(fleet, zone)).agent->source();
     EXPECT_EQ(source.kind, SourceState::Kind::kHealthy) << zone;
@@ -149,7 +149,7 @@
   }
 }
 
-TEST(AgentTest, AConflictIsShownOnBothSidesAndEndedByAHigherRevision) {
+TEST(AgentTest, AConflictIsReportedAndAHigherRevisionEndsIt) {
   SettledFleet settled;
   TestFleet& fleet = settled.fleet;
   const auto side = [](const std::string& id) { return id.substr(0, 6) == "zone-a"; };
@@ -172,12 +172,12 @@
   ASSERT_TRUE(fleet.RunUntil([&] { return side_runs(false); }, seconds(40)));
   fleet.link = [](const auto&, const auto&) { return true; };
   std::size_t pulls = 0;
-  fleet.tap = [&](const TestNode&, const SocketAddress&, const Message& message) {
+  fleet.on_send = [&](const TestNode&, const SocketAddress&, const Message& message) {
     pulls += std::holds_alternative<Pull>(message.body) ? 1 : 0;
   };
   fleet.RunFor(seconds(30));
   EXPECT_GE(fleet.CountReports(ErrorKind::kRevisionConflict), 1U);
-  EXPECT_LE(pulls, fleet.nodes().size());  // Each at most once, not again and again.
+  EXPECT_LE(pulls, fleet.nodes().size());  // Each node pulls at most once, not repeatedly.
   for (const auto& [id, node] : fleet.nodes()) {
     EXPECT_EQ(node->agent->running()->table.rows[0].new_weight, side(id) ? 10U : 20U) << id;
   }
@@ -191,7 +191,7 @@
 TEST(AgentTest, AnIncompleteTableWaitsAndAFaultyOneIsRefusedNamingItsPlace) {
   SettledFleet settled;
   TestFleet& fleet = settled.fleet;
-  // The secret vanishes: the running table still names it, so it is kept.
+  // The source loses the secret. It is kept because the running table still names it.
   fleet.Publish({.revision = 2, .new_weight = 5, .secret = ""});
   EXPECT_TRUE(fleet.RunUntil([&] { return fleet.AllRun(2); }, seconds(5)));
   fleet.Publish({.revision = 3, .new_weight = 6, .faulty = true});
@@ -240,7 +240,7 @@
   fleet.total_documents = 0;
   for (std::uint64_t edit = 1; edit <= kEdits; ++edit) {
     fleet.Publish({.revision = 1 + edit, .new_weight = static_cast<int>(edit)});
-    fleet.RunFor(seconds(70));  // Longer than the slowest standby's turn.
+    fleet.RunFor(seconds(70));  // This is longer than the interval of the slowest standby.
     EXPECT_TRUE(fleet.AllRun(1 + edit));
     EXPECT_EQ(fleet.total_documents, 2 * edit - 1) << "configuration " << edit;
     fleet.PublishMachines(10 + edit);
@@ -249,8 +249,9 @@
   }
 }
 
-// The reader of zone-b knows the changed secret only by a push and a 304. That must count as
-// having seen it: when it alone sees the source take the change back, it has to spread that.
+// The reader of zone-b knows the changed secret only from a push and a 304. That must count as
+// having seen the change: when this reader alone sees the source revert it, it has to push the
+// reverted document.
 TEST(AgentTest, AChangeTakenBackIsSeenByAReaderThatNeverReadTheChange) {
   SettledFleet settled;
   TestFleet& fleet = settled.fleet;
@@ -259,32 +260,32 @@
       return entry.second->agent->running()->secrets.at("permit-token") == secret;
     });
   };
-  const auto cut_off = [&](bool in_zone_b) {
+  const auto block_source = [&](bool in_zone_b) {
     fleet.without_source.clear();
     for (const auto& [id, node] : fleet.nodes()) {
       if ((node->zone == "zone-b") == in_zone_b) fleet.without_source.insert(id);
     }
   };
-  fleet.Publish({.revision = 1, .secret = "first"});  // Seen by zone-b itself.
+  fleet.Publish({.revision = 1, .secret = "first"});  // Zone-b reads this itself.
   fleet.RunFor(seconds(70));
-  cut_off(true);
+  block_source(true);
   fleet.Publish({.revision = 1, .secret = "second"});
   ASSERT_TRUE(fleet.RunUntil([&] { return all_have("second"); }, seconds(60)));
-  cut_off(false);
+  block_source(false);
   fleet.RunFor(seconds(70));
   fleet.Publish({.revision = 1, .secret = "first"});
   EXPECT_TRUE(fleet.RunUntil([&] { return all_have("first"); }, seconds(70)));
 }
 
-// A fleet that ran revision 5 while the source went back to 4, and one node that restarts: peers
-// answer its join, but no document reaches it. @return the restarted node's id.
+// Sets up a fleet that runs revision 5 while the source was rolled back to 4, and restarts one
+// node. Peers answer its join, but no document reaches it. @return the id of the restarted node.
 std::string RestartBelowFloor(TestFleet& fleet) {
   fleet.Publish({.revision = 5, .new_weight = 5});
   EXPECT_TRUE(fleet.RunUntil([&] { return fleet.AllRun(5); }, seconds(5)));
   fleet.RunFor(seconds(5));
   std::string id = ReaderOf(fleet, "zone-a");
   fleet.Publish({.revision = 4, .new_weight = 4});
-  fleet.pass = [id](const std::string& from, const std::string& to, const Message& message) {
+  fleet.filter = [id](const std::string& from, const std::string& to, const Message& message) {
     const bool joins = std::holds_alternative<JoinRequest>(message.body) ||
                        std::holds_alternative<JoinReply>(message.body);
     return joins || (from != id && to != id);
@@ -294,14 +295,14 @@
   return id;
 }
 
-TEST(AgentTest, ReadersOfDifferentCachesDoNotRaiseTheEpochForEver) {
+TEST(AgentTest, ReadersOfDifferentCachesDoNotRaiseTheEpochForever) {
   SettledFleet settled;
   TestFleet& fleet = settled.fleet;
   fleet.Publish({.revision = 1, .secret = "fresh"});
   fleet.stale_zones["zone-b"] = MakeDocument({.revision = 1, .secret = "stale"});
   fleet.RunFor(seconds(60));
   const std::uint32_t epoch = fleet.nodes().begin()->second->agent->running()->resource_epoch;
-  // Each node that ever reads raises it once at most; four ranks of three zones read.
+  // Each node that reads raises the epoch at most once, and four ranks of three zones read.
   const auto readers =
       std::count_if(fleet.nodes().begin(), fleet.nodes().end(),
                     [](const auto& entry) { return entry.second->agent->source().reads > 0; });
@@ -334,7 +335,7 @@
   EXPECT_EQ(newcomer.activations.front()->revision, 5U);
   EXPECT_FALSE(newcomer.agent->floor_unverified());
 
-  fleet.PublishMachines(30);  // Back in time: refused, said once.
+  fleet.PublishMachines(30);  // A lower sequence is ignored and reported once.
   fleet.RunFor(seconds(10));
   for (const auto& [id, node] : fleet.nodes()) {
     ASSERT_NE(node->agent->machines(), nullptr) << id;
@@ -352,12 +353,12 @@
   EXPECT_FALSE(agent.floor_unverified());
   ASSERT_FALSE(agent.ledger().entries().empty());
   EXPECT_EQ(agent.ledger().entries().back().verdict, VersionVerdict::kRefusedFloor);
-  fleet.pass = nullptr;
+  fleet.filter = nullptr;
   EXPECT_TRUE(fleet.RunUntil([&] { return fleet.AllRun(5); }, seconds(60)));
 }
 
-// The same situations with one rule broken: the checks of these tests must see it.
-TEST(AgentTest, BrokenRulesAreSeenByTheseChecks) {
+// Breaks one rule at a time and requires that the checks of these tests detect it.
+TEST(AgentTest, EachBrokenRuleIsDetectedByTheseChecks) {
   AgentSettings broken = Fast();
   broken.faults.ignore_floor = true;
   SettledFleet without_floor(1, broken);
@@ -387,7 +388,7 @@
   SettledFleet settled;
   TestFleet& fleet = settled.fleet;
   std::vector<std::pair<SocketAddress, std::shared_ptr<const Message>>> pushes;
-  fleet.tap = [&](const TestNode& from, const SocketAddress&, const Message& message) {
+  fleet.on_send = [&](const TestNode& from, const SocketAddress&, const Message& message) {
     const bool push = std::holds_alternative<Push>(message.body);
     if (push) pushes.emplace_back(from.address, std::make_shared<Message>(message));
   };
@@ -397,7 +398,7 @@
     fleet.RunFor(Milliseconds(1500));
   }
   EXPECT_TRUE(fleet.RunUntil([&] { return fleet.AllRun(6); }, seconds(30)));
-  fleet.tap = nullptr;
+  fleet.on_send = nullptr;
   ASSERT_FALSE(pushes.empty());
   for (const auto& [from, message] : pushes) {
     for (auto& [id, node] : fleet.nodes()) fleet.Deliver(id, MessageReceived{from, message});
@@ -412,24 +413,24 @@
   SettledFleet settled(1, deep_tree);
   TestFleet& fleet = settled.fleet;
   std::size_t pushes = 0;
-  fleet.tap = [&](const TestNode&, const SocketAddress&, const Message& message) {
+  fleet.on_send = [&](const TestNode&, const SocketAddress&, const Message& message) {
     if (std::holds_alternative<Push>(message.body)) ++pushes;
   };
   fleet.max_delay = seconds(3);  // Every acknowledgement is late.
   fleet.Publish({.revision = 2, .new_weight = 2});
   EXPECT_TRUE(fleet.RunUntil([&] { return fleet.AllRun(2); }, seconds(60)));
-  // Two attempts by a member's parent, two by its grandparent, and what repair sends.
+  // A member gets two attempts from its parent, two from its grandparent, and what repair sends.
   RecordProperty("pushes", static_cast<int>(pushes));
   EXPECT_LE(pushes, 6 * fleet.nodes().size());
 }
 
-TEST(AgentTest, BusyPeersSpreadAHerdOfJoiningNodes) {
+TEST(AgentTest, BusyPeersSpreadTheTransfersOfManyJoiningNodes) {
   AgentSettings settings = Fast();
   settings.whole_transfers_per_second = 1;
   SettledFleet settled(3, settings);
   TestFleet& fleet = settled.fleet;
   std::size_t busy = 0;
-  fleet.tap = [&](const TestNode&, const SocketAddress&, const Message& message) {
+  fleet.on_send = [&](const TestNode&, const SocketAddress&, const Message& message) {
     busy += std::holds_alternative<Busy>(message.body) ? 1 : 0;
   };
   const std::string survivor = fleet.nodes().begin()->first;
@@ -440,7 +441,7 @@
   EXPECT_GE(busy, 1U);
 }
 
-TEST(AgentTest, APausedReaderHoldsNoRoleAndTakesNothingUntilItHeardTheFleet) {
+TEST(AgentTest, APausedReaderHasNoRoleAndTakesNothingWhileItWaitsForPeers) {
   SettledFleet settled;
   TestFleet& fleet = settled.fleet;
   const std::string id = ReaderOf(fleet, "zone-a");
@@ -467,7 +468,7 @@
   EXPECT_FALSE(agent.ledger().joining());
 }
 
-TEST(AgentTest, AReaderThatLeavesHandsItsRoleOn) {
+TEST(AgentTest, ALeavingReaderIsReplacedByItsStandby) {
   SettledFleet settled;
   TestFleet& fleet = settled.fleet;
   const std::string id = ReaderOf(fleet, "zone-a");
@@ -485,7 +486,7 @@
   TestFleet& fleet = settled.fleet;
   fleet.source_down = true;
   fleet.RunFor(seconds(300));
-  EXPECT_LE(fleet.total_reads, 300U);  // Ten nodes may ever read; without backoff 1,200 and more.
+  EXPECT_LE(fleet.total_reads, 300U);  // Ten nodes may read; without backoff 1,200 reads or more.
   fleet.source_down = false;
   fleet.total_reads = 0;
   fleet.Publish({.revision = 2, .new_weight = 2});
@@ -498,7 +499,7 @@
   TestFleet& fleet = settled.fleet;
   const std::string id = fleet.nodes().begin()->first;
   std::size_t queries = 0;
-  fleet.tap = [&](const TestNode&, const SocketAddress&, const Message& message) {
+  fleet.on_send = [&](const TestNode&, const SocketAddress&, const Message& message) {
     queries += std::holds_alternative<StatusQuery>(message.body) ? 1 : 0;
   };
   fleet.RunFor(seconds(30));
--- a/tests/distribution/test_fleet.cc
+++ b/tests/distribution/test_fleet.cc
@@ -52,7 +52,7 @@
 }
 
 void TestFleet::Start(TestNode& node) {
-  ++node.life;
+  ++node.generation;
   node.paused = false;
   node.activations.clear();
   node.backlog.clear();
@@ -60,8 +60,8 @@
   self.id = node.id;
   self.zone = node.zone;
   self.address = node.address;
-  self.incarnation = static_cast<std::uint32_t>(node.life);
-  const std::uint64_t seed = seed_ * 1000 + nodes_.size() * 100 + node.life;
+  self.incarnation = static_cast<std::uint32_t>(node.generation);
+  const std::uint64_t seed = seed_ * 1000 + nodes_.size() * 100 + node.generation;
   node.agent = std::make_unique<Agent>(node.settings, self, node.contacts, seed, now_);
   node.timer = now_;
   Schedule(now_, node, nullptr);
@@ -70,7 +70,7 @@
 void TestFleet::Restart(const std::string& id) { Start(node(id)); }
 
 void TestFleet::Kill(const std::string& id) {
-  ++node(id).life;
+  ++node(id).generation;
   node(id).agent.reset();
 }
 
@@ -106,7 +106,7 @@
 }
 
 void TestFleet::Schedule(Timestamp when, const TestNode& node, std::function<Event()> make) {
-  queue_.push({when, ++order_, node.id, node.life, std::move(make)});
+  queue_.push({when, ++order_, node.id, node.generation, std::move(make)});
 }
 
 bool TestFleet::RunNext(Timestamp limit) {
@@ -118,9 +118,9 @@
   queue_.pop();
   now_ = next.when;
   TestNode& target = node(next.node);
-  if (target.agent == nullptr || target.life != next.life) return true;
+  if (target.agent == nullptr || target.generation != next.generation) return true;
   const bool timer = next.make == nullptr;
-  if (timer && target.timer != next.when) return true;  // Moved since.
+  if (timer && target.timer != next.when) return true;  // The timer was rescheduled.
   const Event event = timer ? Event(TimerFired{}) : next.make();
   if (!target.paused) {
     Step(target, event);
@@ -145,14 +145,14 @@
 }
 
 void TestFleet::Step(TestNode& node, const Event& event) {
-  for (const Action& action : node.agent->Step(now_, event)) Carry(node, action);
+  for (const Action& action : node.agent->Step(now_, event)) Execute(node, action);
   const Timestamp next = node.agent->NextDeadline();
   if (next == Timestamp::max()) return;
   node.timer = std::max(next, now_ + std::chrono::microseconds(100));
   Schedule(node.timer, node, nullptr);
 }
 
-void TestFleet::Carry(TestNode& node, const Action& action) {
+void TestFleet::Execute(TestNode& node, const Action& action) {
   if (const auto* send = std::get_if<SendMessage>(&action)) Transmit(node, *send);
   if (const auto* fetch = std::get_if<FetchFromSource>(&action)) Fetch(node, *fetch);
   if (const auto* report = std::get_if<Report>(&action)) node.reports.push_back(*report);
@@ -162,10 +162,10 @@
 }
 
 void TestFleet::Transmit(const TestNode& from, const SendMessage& send) {
-  if (tap) tap(from, send.to, *send.message);
+  if (on_send) on_send(from, send.to, *send.message);
   const auto found = by_address_.find(send.to);
   if (found == by_address_.end() || !link(from.id, found->second)) return;
-  if (pass && !pass(from.id, found->second, *send.message)) return;
+  if (filter && !filter(from.id, found->second, *send.message)) return;
   const TestNode& to = node(found->second);
   const auto chance = [&] { return static_cast<double>(random_.Below(1'000'000)) / 1e6; };
   const int copies = chance() < duplicates ? 2 : 1;
@@ -180,12 +180,12 @@
 void TestFleet::Fetch(TestNode& node, const FetchFromSource& fetch) {
   ++node.source_reads;
   if (fetch.stream == StreamKind::kConfiguration) ++total_reads;
-  // The source's state is that of the time when the answer is made.
+  // The answer shows the source's state at the time of the answer, not of the request.
   Schedule(now_ + Milliseconds(2), node, [this, id = node.id, fetch] {
     SourceAnswered answer = Answer(id, fetch);
     const bool full = answer.status == SourceAnswered::Status::kNew;
     if (full) ++total_documents;
-    if (full && answer.stream == StreamKind::kConfiguration) ++full_answers;
+    if (full && answer.stream == StreamKind::kConfiguration) ++document_answers;
     return Event(std::move(answer));
   });
 }
@@ -214,12 +214,12 @@
   if (!node.activations.empty()) {
     const DocumentVersion& before = node.activations.back()->version;
     if (IsNewer(before, bundle->version)) {
-      violations.push_back(node.id + " fell from " + ToString(before) + " to " +
+      violations.push_back(node.id + " went down from " + ToString(before) + " to " +
                            ToString(bundle->version));
     }
     if (before.major == bundle->revision &&
         node.activations.back()->table_digest != bundle->table_digest) {
-      violations.push_back(node.id + " moved sideways at " + ToString(before));
+      violations.push_back(node.id + " changed its table at " + ToString(before));
     }
   }
   if (!MissingNames(*bundle).empty()) violations.push_back(node.id + " runs an incomplete bundle");
