--- a/src/mesh/crash_ledger.cc
+++ b/src/mesh/crash_ledger.cc
@@ -8,35 +8,36 @@
 namespace
 {
 
-// A request that crashes again when it is tried after its hold is held again at once.
-constexpr int memoryInHolds = 2;
+// Suspects are kept for this many hold times after their last crash. A request that crashes an
+// instance again when it is tried after its hold is then still known and held again at once.
+constexpr int retentionInHolds = 2;
 
 } // namespace
 
-int CrashLedger::countOf (const Suspect& suspect)
+int CrashLedger::unclearedCrashes (const Suspect& suspect)
 {
     return static_cast<int> (std::count_if (suspect.crashes.begin(), suspect.crashes.end(),
                                             [] (const auto& known) { return ! known.cleared; }));
 }
 
-Milliseconds CrashLedger::holdTimeOf (const Suspect& suspect) const
+Milliseconds CrashLedger::holdTime (const Suspect& suspect) const
 {
-    const int count = countOf (suspect);
+    const int count = unclearedCrashes (suspect);
 
     if (limits.most == 0 || count < limits.most)
         return {};
 
-    auto time = std::min (limits.hold, longestHold);
+    auto time = std::min (limits.hold, maxHold);
 
-    for (int further = limits.most; further < count; ++further)
-        time = std::min (time * holdGrowth, longestHold);
+    for (int crash = limits.most; crash < count; ++crash)
+        time = std::min (time * holdGrowthFactor, maxHold);
 
     return time;
 }
 
 bool CrashLedger::isHeld (Timestamp now, const Suspect& suspect) const
 {
-    return now - suspect.lastCrashAt < holdTimeOf (suspect);
+    return now - suspect.lastCrashAt < holdTime (suspect);
 }
 
 bool CrashLedger::knowsHead (std::uint64_t head) const
@@ -59,7 +60,7 @@
 
     known.push_back (crash);
 
-    if (known.size() > mostCrashes)
+    if (known.size() > maxCrashesPerSuspect)
         known.erase (known.begin());
 }
 
@@ -73,7 +74,7 @@
 
     suspect.lastCrashAt = std::max<Timestamp> (suspect.lastCrashAt, now - record.age);
     const bool held = isHeld (now, suspect);
-    makeRoom();
+    evictExcess();
 
     if (held == wasHeld)
         return SuspectChange::none;
@@ -81,31 +82,31 @@
     return held ? SuspectChange::held : SuspectChange::cleared;
 }
 
-void CrashLedger::makeRoom()
+void CrashLedger::evictExcess()
 {
-    if (suspects.size() <= mostSuspects)
+    if (suspects.size() <= maxSuspects)
         return;
 
-    suspects.erase (
-        std::min_element (suspects.begin(), suspects.end(),
-                          [] (const auto& a, const auto& b)
-                          {
-                              return std::tuple (countOf (a.second), a.second.lastCrashAt) <
-                                     std::tuple (countOf (b.second), b.second.lastCrashAt);
-                          }));
+    suspects.erase (std::min_element (
+        suspects.begin(), suspects.end(),
+        [] (const auto& a, const auto& b)
+        {
+            return std::tuple (unclearedCrashes (a.second), a.second.lastCrashAt) <
+                   std::tuple (unclearedCrashes (b.second), b.second.lastCrashAt);
+        }));
 }
 
 std::optional<SuspectRecord> CrashLedger::clear (Timestamp now, const RequestDigest& request)
 {
     const auto found = suspects.find (request);
 
-    if (found == suspects.end() || countOf (found->second) == 0)
+    if (found == suspects.end() || unclearedCrashes (found->second) == 0)
         return std::nullopt;
 
     for (auto& known : found->second.crashes)
         known.cleared = true;
 
-    return recordOf (now, *found);
+    return toRecord (now, *found);
 }
 
 std::optional<Hold> CrashLedger::holdOf (Timestamp now, const RequestDigest& request) const
@@ -116,27 +117,28 @@
         return std::nullopt;
 
     const auto age = std::chrono::floor<Milliseconds> (now - found->second.lastCrashAt);
-    return Hold{ request, countOf (found->second), age, holdTimeOf (found->second) - age };
+    return Hold{ request, unclearedCrashes (found->second), age, holdTime (found->second) - age };
 }
 
-SuspectRecord CrashLedger::recordOf (Timestamp now, const Suspects::value_type& item) const
+SuspectRecord CrashLedger::toRecord (Timestamp now, const Suspects::value_type& item) const
 {
     const auto age = std::chrono::floor<Milliseconds> (now - item.second.lastCrashAt);
     return { item.first, item.second.crashes, std::max (age, Milliseconds (0)) };
 }
 
-std::vector<SuspectRecord> CrashLedger::worthTelling (Timestamp now, std::size_t most) const
+std::vector<SuspectRecord> CrashLedger::worthTelling (Timestamp now,
+                                                      std::size_t maxRecordCount) const
 {
     std::vector<SuspectRecord> records;
 
-    // Cleared crashes count here, so that their clearing gets to everybody, too.
+    // Cleared crashes count here as well, so that the clearing also reaches every node.
     for (const auto& item : suspects)
         if (limits.most > 0 && item.second.crashes.size() >= static_cast<std::size_t> (limits.most))
-            records.push_back (recordOf (now, item));
+            records.push_back (toRecord (now, item));
 
     std::sort (records.begin(), records.end(),
                [] (const auto& a, const auto& b) { return a.age < b.age; });
-    records.resize (std::min (records.size(), most));
+    records.resize (std::min (records.size(), maxRecordCount));
     return records;
 }
 
@@ -145,8 +147,8 @@
     std::erase_if (suspects,
                    [&] (const auto& item)
                    {
-                       const auto hold = std::max (holdTimeOf (item.second), limits.hold);
-                       return now - item.second.lastCrashAt > memoryInHolds * hold;
+                       const auto hold = std::max (holdTime (item.second), limits.hold);
+                       return now - item.second.lastCrashAt > retentionInHolds * hold;
                    });
 }
 
--- a/src/mesh/crash_ledger.h
+++ b/src/mesh/crash_ledger.h
@@ -1,10 +1,12 @@
-/** What a node knows of requests under which instances have crashed, and which of them are held:
-   sent to no instance any more. Every node keeps its own and merges what others tell. Merging is a
-   union of crashes, so that order, loss and repetition of messages don't matter. Deciding code
-   without I/O.
-
-    A crash makes suspects of all that ran there, most of them innocent. A suspect is held once it
-    stands in CrashLimits::most crashes, and cleared by any run of it that ends with an answer.
+/** Records which requests were running when instances crashed, and decides which of them are held.
+    A held request is sent to no instance until its hold ends. Every node keeps its own ledger and
+    merges the records that it receives from other nodes. Merging forms the union of the crashes,
+    so that order, loss and repetition of messages don't matter. This code decides only; it does
+    no I/O.
+
+    All requests that ran at an instance when it crashed become suspects, although most of them
+    didn't cause the crash. A suspect is held once it has run in as many crashes as CrashLimits
+    specifies. Any run of it that ends with an answer clears it.
 */
 #pragma once
 
@@ -21,13 +23,15 @@
 
 struct CrashLimits
 {
-    /** Crashes from which a request is held; 0: none is. With two, the innocent of one crash
-        are never held, and a request that comes again costs few instances.
+    /** Number of crashes from which on a request is held; 0 disables holding. With a limit of two,
+        requests that merely ran in a single crash are never held, and a crashing request that is
+        repeated still costs only a few instances.
     */
     int most = 2;
 
-    /** For how long a request is held at first. It is tried again then, for the sake of those that
-        were there by chance; each further crash holds it holdGrowth times as long.
+    /** Length of the first hold. The request may be tried again afterwards, because it may have
+        run in the crashes by chance. Each further crash makes the hold holdGrowthFactor times as
+        long.
     */
     Milliseconds hold{ 60'000 };
 };
@@ -36,23 +40,23 @@
 struct KnownCrash
 {
     std::uint64_t crash = 0;
-    bool cleared = false; /**< The request ran to its end since, so it wasn't the cause. */
+    bool cleared = false; /**< The request has since run to its end, so it wasn't the cause. */
 };
 
-/** What one node tells another about a suspect. */
+/** The state of a suspect as one node sends it to another. */
 struct SuspectRecord
 {
     RequestDigest request;
     std::vector<KnownCrash> crashes;
-    Milliseconds age{}; /**< Since the last crash. */
+    Milliseconds age{}; /**< Time since the last crash. */
 };
 
-/** What a change of a suspect has come to. */
+/** How a merged record changed the state of a suspect. */
 enum class SuspectChange : std::uint8_t
 {
     none,
-    held,   /**< Held from now on. */
-    cleared /**< It was held. */
+    held,   /**< The request is held from now on. */
+    cleared /**< The request was held and no longer is. */
 };
 
 /** Why and for how long a request is held. */
@@ -60,25 +64,28 @@
 {
     RequestDigest request;
     int crashes = 0;
-    Milliseconds age{};  /**< Since the last crash. */
-    Milliseconds left{}; /**< Until it may be tried again. */
+    Milliseconds age{};  /**< Time since the last crash. */
+    Milliseconds left{}; /**< Time until the request may be tried again. */
 };
 
 /** Not thread-safe. */
 class CrashLedger
 {
 public:
-    /** Beyond them the oldest of those with the fewest crashes are forgotten. */
-    static constexpr std::size_t mostSuspects = 1024;
+    /** Above this number, the suspect with the fewest uncleared crashes is evicted; among equals,
+        the one whose last crash is the oldest.
+    */
+    static constexpr std::size_t maxSuspects = 1024;
 
-    /** With a first hold of a minute, one that always crashes is tried four times in the first ten
-        hours: after 1 min, 9 min, 73 min and 10 h.
+    /** Each further crash makes the hold this many times as long. With a first hold of one minute,
+        a request that always crashes its instance is tried four times in the first ten hours:
+        after 1 min, 9 min, 73 min and 10 h.
     */
-    static constexpr int holdGrowth = 8;
-    static constexpr Milliseconds longestHold = std::chrono::hours (24);
+    static constexpr int holdGrowthFactor = 8;
+    static constexpr Milliseconds maxHold = std::chrono::hours (24);
 
-    /** The latest are kept of one suspect. */
-    static constexpr std::size_t mostCrashes = 8;
+    /** The crashes added last are kept of each suspect. */
+    static constexpr std::size_t maxCrashesPerSuspect = 8;
 
     explicit CrashLedger (const CrashLimits& limitsToUse)
         : limits (limitsToUse)
@@ -88,48 +95,49 @@
     bool empty() const { return suspects.empty(); }
     std::size_t size() const { return suspects.size(); }
 
-    /** Whether some suspect has that RequestDigest::head. */
+    /** Returns whether any suspect has this RequestDigest::head. */
     bool knowsHead (std::uint64_t head) const;
 
+    /** Adds the crashes of a record, received from another node or made at this one. */
     SuspectChange merge (Timestamp now, const SuspectRecord& record);
 
-    /** A request was answered by an instance.
-        @returns what to tell the others; nothing when it wasn't suspected
+    /** Clears a request that an instance has answered.
+        @returns the record to send to the other nodes; nothing when the request wasn't suspected
     */
     std::optional<SuspectRecord> clear (Timestamp now, const RequestDigest& request);
 
-    /** Nothing when the request may be sent to an instance. */
+    /** Returns nothing when the request may be sent to an instance. */
     std::optional<Hold> holdOf (Timestamp now, const RequestDigest& request) const;
 
-    /** Suspects that every node should know, the latest first. */
-    std::vector<SuspectRecord> worthTelling (Timestamp now, std::size_t most) const;
+    /** Returns the suspects that every node should know, those with the latest crash first. */
+    std::vector<SuspectRecord> worthTelling (Timestamp now, std::size_t maxRecordCount) const;
 
-    /** Forgets what is too old to matter. */
+    /** Removes suspects whose last crash is too long ago. */
     void advance (Timestamp now);
 
 private:
     struct Suspect
     {
-        std::vector<KnownCrash> crashes; /**< The oldest first. */
+        std::vector<KnownCrash> crashes; /**< In the order in which they were added. */
         Timestamp lastCrashAt{};
     };
 
     using Suspects = std::map<RequestDigest, Suspect>;
 
-    static int countOf (const Suspect& suspect);
+    static int unclearedCrashes (const Suspect& suspect);
 
-    /** Zero when it has run in too few crashes. */
-    Milliseconds holdTimeOf (const Suspect& suspect) const;
+    /** Returns zero when the request has run in too few crashes to be held. */
+    Milliseconds holdTime (const Suspect& suspect) const;
     static void mergeCrash (Suspect& suspect, const KnownCrash& crash);
     bool isHeld (Timestamp now, const Suspect& suspect) const;
-    SuspectRecord recordOf (Timestamp now, const Suspects::value_type& item) const;
-    void makeRoom();
+    SuspectRecord toRecord (Timestamp now, const Suspects::value_type& item) const;
+    void evictExcess();
 
     CrashLimits limits;
     Suspects suspects;
 };
 
-/** The records that tell of a crash: one for each request that ran in it. */
+/** Returns one record for each request that ran in a crash. */
 std::vector<SuspectRecord> recordsOf (const CrashReport& report);
 
 } // namespace copperlead::mesh
--- a/src/mesh/crash_message.cc
+++ b/src/mesh/crash_message.cc
@@ -9,8 +9,10 @@
 namespace
 {
 
-constexpr std::uint32_t newsMark = 0x636f7063;
-constexpr std::uint32_t oldestMs = 7 * 24 * 3'600'000; // Beyond it a message is no message.
+constexpr std::uint32_t messageMark = 0x636f7063;
+
+// Seven days. Ages are limited to it when encoded; a message with a greater age is rejected.
+constexpr std::uint32_t maxAgeMs = 7 * 24 * 3'600'000;
 
 } // namespace
 
@@ -24,38 +26,39 @@
 void serialize (Archive& archive, SuspectRecord& record)
 {
     auto age =
-        static_cast<std::uint32_t> (std::clamp<std::int64_t> (record.age.count(), 0, oldestMs));
+        static_cast<std::uint32_t> (std::clamp<std::int64_t> (record.age.count(), 0, maxAgeMs));
     archive (record.request.head, record.request.body, age);
     record.age = Milliseconds (age);
-    record.crashes.resize (archiveCount (archive, record.crashes.size(), CrashLedger::mostCrashes));
+    record.crashes.resize (
+        archiveCount (archive, record.crashes.size(), CrashLedger::maxCrashesPerSuspect));
 
     for (auto& known : record.crashes)
         archive (known);
 }
 
 template <typename Archive>
-void serialize (Archive& archive, SuspectNews& news)
+void serialize (Archive& archive, SuspectNews& update)
 {
-    news.records.resize (archiveCount (archive, news.records.size(), SuspectNews::mostRecords));
+    update.records.resize (archiveCount (archive, update.records.size(), SuspectNews::mostRecords));
 
-    for (auto& record : news.records)
+    for (auto& record : update.records)
         archive (record);
 }
 
-std::string encode (const SuspectNews& news) { return encodeDatagram (newsMark, news); }
+std::string encode (const SuspectNews& update) { return encodeDatagram (messageMark, update); }
 
 std::optional<SuspectNews> decodeSuspectNews (std::string_view bytes)
 {
-    auto news = decodeDatagram<SuspectNews> (newsMark, bytes);
+    auto update = decodeDatagram<SuspectNews> (messageMark, bytes);
 
-    if (! news)
+    if (! update)
         return std::nullopt;
 
-    for (const auto& record : news->records)
-        if (record.crashes.empty() || record.age.count() > oldestMs)
+    for (const auto& record : update->records)
+        if (record.crashes.empty() || record.age.count() > maxAgeMs)
             return std::nullopt;
 
-    return news;
+    return update;
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/crash_message.h
+++ b/src/mesh/crash_message.h
@@ -1,5 +1,6 @@
-/** What nodes tell each other of requests under which instances crashed, by datagrams: at once
-   after a crash or a clearing, and again now and then, since any of them may be lost.
+/** The datagrams in which nodes report suspects of crashes to each other (see CrashLedger). They
+    are sent at once after a crash or a clearing, and repeated from time to time, because any of
+    them may be lost.
 */
 #pragma once
 
@@ -13,18 +14,20 @@
 namespace copperlead::mesh
 {
 
+/** Suspects that one node reports to another. */
 struct SuspectNews
 {
-    /** The most that one datagram holds: some 600 bytes with two crashes each. */
+    /** Maximum number of records in one datagram: some 600 bytes with two crashes each. */
     static constexpr std::size_t mostRecords = 15;
 
     std::vector<SuspectRecord> records;
 };
 
-std::string encode (const SuspectNews& news);
+std::string encode (const SuspectNews& update);
 
-/** @returns nothing when the datagram is no whole message of the kind or holds a value out of range
- */
+/** @returns nothing when the datagram isn't a complete message of this kind or holds a value out of
+    range
+*/
 std::optional<SuspectNews> decodeSuspectNews (std::string_view bytes);
 
 } // namespace copperlead::mesh
--- a/tests/mesh/crash_ledger_test.cc
+++ b/tests/mesh/crash_ledger_test.cc
@@ -12,11 +12,11 @@
 namespace
 {
 
-const RequestDigest culprit{ 1, 7 }, other{ 1, 8 }, third{ 3, 0 };
+const RequestDigest culprit{ 1, 7 }, otherBody{ 1, 8 }, otherHead{ 3, 0 };
 
 Timestamp at (int milliseconds) { return Timestamp (Milliseconds (milliseconds)); }
 
-SuspectRecord ranIn (const RequestDigest& request, std::uint64_t crash)
+SuspectRecord recordOfRun (const RequestDigest& request, std::uint64_t crash)
 {
     return { request, { { crash, false } }, {} };
 }
@@ -24,9 +24,9 @@
 TEST (CrashLedger, HoldsWhatRanInTwoCrashes)
 {
     CrashLedger ledger{ CrashLimits() };
-    EXPECT_EQ (ledger.merge (at (0), ranIn (culprit, 11)), SuspectChange::none);
+    EXPECT_EQ (ledger.merge (at (0), recordOfRun (culprit, 11)), SuspectChange::none);
     EXPECT_FALSE (ledger.holdOf (at (1), culprit));
-    EXPECT_EQ (ledger.merge (at (10), ranIn (culprit, 12)), SuspectChange::held);
+    EXPECT_EQ (ledger.merge (at (10), recordOfRun (culprit, 12)), SuspectChange::held);
     const auto hold = ledger.holdOf (at (110), culprit);
     ASSERT_TRUE (hold);
     EXPECT_EQ (hold->crashes, 2);
@@ -34,65 +34,65 @@
     EXPECT_EQ (hold->left, CrashLimits().hold - Milliseconds (100));
 }
 
-TEST (CrashLedger, OneCrashCountsOnceHoweverOftenItIsTold)
+TEST (CrashLedger, CountsACrashOnceHoweverOftenItIsReported)
 {
     CrashLedger ledger{ CrashLimits() };
 
-    for (int told = 0; told < 5; ++told)
-        EXPECT_EQ (ledger.merge (at (told), ranIn (culprit, 11)), SuspectChange::none);
+    for (int report = 0; report < 5; ++report)
+        EXPECT_EQ (ledger.merge (at (report), recordOfRun (culprit, 11)), SuspectChange::none);
 }
 
-TEST (CrashLedger, OtherBodiesAreOtherRequests)
+TEST (CrashLedger, TreatsAnotherBodyAsAnotherRequest)
 {
     CrashLedger ledger{ CrashLimits() };
-    ledger.merge (at (0), ranIn (culprit, 11));
-    ledger.merge (at (0), ranIn (culprit, 12));
-    EXPECT_TRUE (ledger.knowsHead (other.head));
-    EXPECT_FALSE (ledger.holdOf (at (1), other));
-    EXPECT_FALSE (ledger.knowsHead (third.head));
+    ledger.merge (at (0), recordOfRun (culprit, 11));
+    ledger.merge (at (0), recordOfRun (culprit, 12));
+    EXPECT_TRUE (ledger.knowsHead (otherBody.head));
+    EXPECT_FALSE (ledger.holdOf (at (1), otherBody));
+    EXPECT_FALSE (ledger.knowsHead (otherHead.head));
 }
 
-TEST (CrashLedger, AnAnswerClearsAllCrashesBeforeIt)
+TEST (CrashLedger, ClearsAllEarlierCrashesByAnAnswer)
 {
     CrashLedger ledger{ CrashLimits() };
-    ledger.merge (at (0), ranIn (culprit, 11));
+    ledger.merge (at (0), recordOfRun (culprit, 11));
     EXPECT_TRUE (ledger.clear (at (5), culprit));
-    EXPECT_EQ (ledger.merge (at (10), ranIn (culprit, 12)), SuspectChange::none);
-    EXPECT_EQ (ledger.merge (at (20), ranIn (culprit, 13)), SuspectChange::held);
+    EXPECT_EQ (ledger.merge (at (10), recordOfRun (culprit, 12)), SuspectChange::none);
+    EXPECT_EQ (ledger.merge (at (20), recordOfRun (culprit, 13)), SuspectChange::held);
 }
 
-TEST (CrashLedger, WhatWasClearedStaysClearedWhateverComesLate)
+TEST (CrashLedger, KeepsACrashClearedWhenOlderRecordsArriveLate)
 {
     CrashLedger one{ CrashLimits() }, two{ CrashLimits() };
 
     for (auto* ledger : { &one, &two })
         for (const std::uint64_t crash : { 11, 12 })
-            ledger->merge (at (0), ranIn (culprit, crash));
+            ledger->merge (at (0), recordOfRun (culprit, crash));
 
     const auto cleared = one.clear (at (5), culprit);
     ASSERT_TRUE (cleared);
-    EXPECT_FALSE (one.clear (at (6), culprit)) << "nothing new to tell";
+    EXPECT_FALSE (one.clear (at (6), culprit)) << "there is nothing new to report";
     EXPECT_EQ (one.merge (at (7), two.worthTelling (at (7), 4).front()), SuspectChange::none);
     EXPECT_EQ (two.merge (at (8), *cleared), SuspectChange::cleared);
     EXPECT_FALSE (two.holdOf (at (9), culprit));
 }
 
-TEST (CrashLedger, LetsItGoAfterItsHoldAndHoldsItAgainByOneCrash)
+TEST (CrashLedger, ReleasesARequestAfterItsHoldAndHoldsItAgainAfterOneCrash)
 {
     CrashLedger ledger ({ 2, Milliseconds (1000) });
-    ledger.merge (at (0), ranIn (culprit, 11));
-    ledger.merge (at (0), ranIn (culprit, 12));
+    ledger.merge (at (0), recordOfRun (culprit, 11));
+    ledger.merge (at (0), recordOfRun (culprit, 12));
     EXPECT_TRUE (ledger.holdOf (at (999), culprit));
     EXPECT_FALSE (ledger.holdOf (at (1000), culprit));
-    EXPECT_EQ (ledger.merge (at (1500), ranIn (culprit, 13)), SuspectChange::held);
+    EXPECT_EQ (ledger.merge (at (1500), recordOfRun (culprit, 13)), SuspectChange::held);
     EXPECT_TRUE (ledger.holdOf (at (9499), culprit)) << "longer than before";
     EXPECT_FALSE (ledger.holdOf (at (9500), culprit));
 }
 
-TEST (CrashLedger, TriesOneThatAlwaysCrashesFourTimesInTenHours)
+TEST (CrashLedger, TriesARequestThatAlwaysCrashesFourTimesInTenHours)
 {
     CrashLedger ledger{ CrashLimits() };
-    ledger.merge (at (0), ranIn (culprit, 1));
+    ledger.merge (at (0), recordOfRun (culprit, 1));
     std::uint64_t crashes = 1;
 
     for (int second = 0; second < 10 * 3600; ++second)
@@ -101,62 +101,63 @@
         ledger.advance (now);
 
         if (! ledger.holdOf (now, culprit))
-            ledger.merge (now, ranIn (culprit, ++crashes));
+            ledger.merge (now, recordOfRun (culprit, ++crashes));
     }
 
     EXPECT_EQ (crashes, 2U + 4U);
 }
 
-TEST (CrashLedger, ForgetsWhatIsOld)
+TEST (CrashLedger, RemovesOldSuspects)
 {
     CrashLedger ledger ({ 2, Milliseconds (1000) });
-    ledger.merge (at (0), ranIn (culprit, 11));
+    ledger.merge (at (0), recordOfRun (culprit, 11));
     ledger.advance (at (2000));
     EXPECT_FALSE (ledger.empty());
     ledger.advance (at (2001));
     EXPECT_TRUE (ledger.empty());
 }
 
-TEST (CrashLedger, IsSwitchedOffByALimitOfNone)
+TEST (CrashLedger, IsDisabledByALimitOfZero)
 {
     CrashLedger ledger ({ 0, Milliseconds (1000) });
 
     for (const std::uint64_t crash : { 11, 12, 13 })
-        EXPECT_EQ (ledger.merge (at (0), ranIn (culprit, crash)), SuspectChange::none);
+        EXPECT_EQ (ledger.merge (at (0), recordOfRun (culprit, crash)), SuspectChange::none);
 
     EXPECT_FALSE (ledger.holdOf (at (1), culprit));
     EXPECT_TRUE (ledger.worthTelling (at (1), 4).empty());
 }
 
-TEST (CrashLedger, TellsAllOfWhatStandsInSeveralCrashes)
+TEST (CrashLedger, SharesOnlySuspectsOfSeveralCrashes)
 {
     CrashLedger ledger{ CrashLimits() };
-    ledger.merge (at (0), ranIn (culprit, 11));
-    ledger.merge (at (0), ranIn (third, 11));
-    ledger.merge (at (50), ranIn (culprit, 12));
-    const auto told = ledger.worthTelling (at (60), 4);
-    ASSERT_EQ (told.size(), 1U);
-    EXPECT_EQ (told.front().request, culprit);
-    EXPECT_EQ (told.front().age, Milliseconds (10));
+    ledger.merge (at (0), recordOfRun (culprit, 11));
+    ledger.merge (at (0), recordOfRun (otherHead, 11));
+    ledger.merge (at (50), recordOfRun (culprit, 12));
+    const auto shared = ledger.worthTelling (at (60), 4);
+    ASSERT_EQ (shared.size(), 1U);
+    EXPECT_EQ (shared.front().request, culprit);
+    EXPECT_EQ (shared.front().age, Milliseconds (10));
     CrashLedger later{ CrashLimits() };
-    EXPECT_EQ (later.merge (at (70), told.front()), SuspectChange::held);
+    EXPECT_EQ (later.merge (at (70), shared.front()), SuspectChange::held);
 }
 
-TEST (CrashLedger, KeepsWhatStandsInMoreCrashesWhenThereIsNoRoom)
+TEST (CrashLedger, EvictsSuspectsWithFewerCrashesWhenFull)
 {
     CrashLedger ledger{ CrashLimits() };
-    ledger.merge (at (0), ranIn (culprit, 11));
-    ledger.merge (at (0), ranIn (culprit, 12));
+    ledger.merge (at (0), recordOfRun (culprit, 11));
+    ledger.merge (at (0), recordOfRun (culprit, 12));
 
-    for (std::uint64_t number = 0; number < 2 * CrashLedger::mostSuspects; ++number)
-        ledger.merge (at (1), ranIn ({ 100 + number, 0 }, 20 + number));
+    for (std::uint64_t number = 0; number < 2 * CrashLedger::maxSuspects; ++number)
+        ledger.merge (at (1), recordOfRun ({ 100 + number, 0 }, 20 + number));
 
-    EXPECT_EQ (ledger.size(), CrashLedger::mostSuspects);
+    EXPECT_EQ (ledger.size(), CrashLedger::maxSuspects);
     EXPECT_TRUE (ledger.holdOf (at (2), culprit));
 }
 
-/** Seven instances with six slots each in virtual time, all busy with requests that come once, each
-    of them sent to another instance once if its own crashes, and by its client a second time.
+/** Simulates seven instances with six slots each, all of them occupied by different requests. A
+    request whose instance crashes is sent to another instance up to twice: once by the node and
+    once by its client.
 */
 class BusyService
 {
@@ -168,10 +169,10 @@
     {
         for (auto& running : slotsOf)
             for (auto& slot : running)
-                slot = fresh();
+                slot = newSlot();
     }
 
-    /** Some of what runs is answered, and the slots are taken by others. */
+    /** Answers a share of the running requests and replaces them by new ones. */
     void advance (double answeredShare)
     {
         for (auto& running : slotsOf)
@@ -179,11 +180,13 @@
                 if (chance (answeredShare))
                 {
                     ledger.clear (at (0), slot.request);
-                    slot = fresh();
+                    slot = newSlot();
                 }
     }
 
-    /** @param with  runs there as well */
+    /** Crashes an instance.
+        @param with  a further request that runs there, if any
+    */
     void crash (int instance, const RequestDigest* with = nullptr)
     {
         CrashReport report{ ++crashes, {} };
@@ -191,8 +194,8 @@
         for (auto& slot : slotsOf.at (static_cast<std::size_t> (instance)))
         {
             report.requests.push_back (slot.request);
-            again (slot, instance);
-            slot = fresh();
+            resend (slot, instance);
+            slot = newSlot();
         }
 
         if (with != nullptr)
@@ -216,33 +219,33 @@
     };
 
     bool chance (double share) { return std::uniform_real_distribution<> (0, 1) (random) < share; }
-    Slot fresh() { return { { 100 + ++made, 0 }, 2 }; }
+    Slot newSlot() { return { { 100 + ++createdRequests, 0 }, 2 }; }
 
-    void again (const Slot& slot, int except)
+    void resend (const Slot& slot, int except)
     {
         if (slot.sendsLeft == 0)
             return;
 
-        const int other = (except + 1 + draw (instances - 1)) % instances;
-        auto& place = slotsOf.at (static_cast<std::size_t> (other))
+        const int target = (except + 1 + draw (instances - 1)) % instances;
+        auto& place = slotsOf.at (static_cast<std::size_t> (target))
                           .at (static_cast<std::size_t> (draw (slots)));
         place = { slot.request, slot.sendsLeft - 1 };
     }
 
     std::mt19937 random;
     std::array<std::array<Slot, slots>, instances> slotsOf;
-    std::uint64_t crashes = 0, made = 0;
+    std::uint64_t crashes = 0, createdRequests = 0;
 };
 
-TEST (CrashLedger, HoldsNoneWhereInstancesEndNowAndThenForOtherReasons)
+TEST (CrashLedger, HoldsNoRequestWhenInstancesCrashForOtherReasons)
 {
     BusyService service (5);
 
-    for (int loss = 0; loss < 100; ++loss)
+    for (int crash = 0; crash < 100; ++crash)
     {
         service.crash (service.draw (BusyService::instances));
 
-        // A second passes, in which whatever ran at an instance ends many times.
+        // A second passes, in which every slot changes requests many times.
         for (int step = 0; step < 20; ++step)
             service.advance (0.6);
     }
@@ -250,7 +253,7 @@
     EXPECT_EQ (service.held, 0);
 }
 
-TEST (CrashLedger, HoldsAboutOneInnocentRequestForEachThatCrashesInstances)
+TEST (CrashLedger, HoldsNoMoreInnocentRequestsThanCrashingOnes)
 {
     constexpr int culprits = 200;
     BusyService service (5);
@@ -260,7 +263,7 @@
         const RequestDigest crashing{ 1, number };
         const int first = service.draw (BusyService::instances);
         service.crash (first, &crashing);
-        service.advance (0.3); // A retry is there in less than the time of a run.
+        service.advance (0.3); // A retry arrives in less than the duration of a run.
         service.crash ((first + 1 + service.draw (6)) % BusyService::instances, &crashing);
         EXPECT_TRUE (service.ledger.holdOf (at (0), crashing));
 
@@ -273,12 +276,12 @@
     EXPECT_LE (innocent, culprits);
 }
 
-TEST (SuspectNews, ComesBackWhole)
+TEST (SuspectNews, RoundTrips)
 {
-    SuspectNews news;
-    news.records = { { culprit, { { 11, false }, { 12, true } }, Milliseconds (1234) },
-                     ranIn (third, 11) };
-    const auto read = decodeSuspectNews (encode (news));
+    SuspectNews update;
+    update.records = { { culprit, { { 11, false }, { 12, true } }, Milliseconds (1234) },
+                       recordOfRun (otherHead, 11) };
+    const auto read = decodeSuspectNews (encode (update));
     ASSERT_TRUE (read);
     ASSERT_EQ (read->records.size(), 2U);
     EXPECT_EQ (read->records[0].request, culprit);
@@ -286,34 +289,36 @@
     ASSERT_EQ (read->records[0].crashes.size(), 2U);
     EXPECT_EQ (read->records[0].crashes[1].crash, 12U);
     EXPECT_TRUE (read->records[0].crashes[1].cleared);
-    EXPECT_EQ (read->records[1].request, third);
+    EXPECT_EQ (read->records[1].request, otherHead);
 }
 
 TEST (SuspectNews, FitsIntoADatagramWhenFull)
 {
-    SuspectNews news;
+    SuspectNews update;
 
     for (std::size_t i = 0; i < SuspectNews::mostRecords; ++i)
-        news.records.push_back (
-            { culprit, std::vector<KnownCrash> (CrashLedger::mostCrashes), Milliseconds (1) });
+        update.records.push_back ({ culprit,
+                                    std::vector<KnownCrash> (CrashLedger::maxCrashesPerSuspect),
+                                    Milliseconds (1) });
 
-    EXPECT_LE (encode (news).size(), 1472U);
+    EXPECT_LE (encode (update).size(), 1472U);
 }
 
-TEST (SuspectNews, AnythingElseIsNone)
+TEST (SuspectNews, RejectsTruncatedAndDamagedMessages)
 {
-    SuspectNews news;
-    news.records = { ranIn (culprit, 11), { third, { { 11, false }, { 12, true } }, {} } };
-    const auto whole = encode (news);
+    SuspectNews update;
+    update.records = { recordOfRun (culprit, 11),
+                       { otherHead, { { 11, false }, { 12, true } }, {} } };
+    const auto complete = encode (update);
 
-    for (std::size_t size = 0; size < whole.size(); ++size)
-        EXPECT_FALSE (decodeSuspectNews (whole.substr (0, size))) << size;
+    for (std::size_t size = 0; size < complete.size(); ++size)
+        EXPECT_FALSE (decodeSuspectNews (complete.substr (0, size))) << size;
 
     std::minstd_rand random (3);
 
-    for (int changed = 0; changed < 20'000; ++changed)
+    for (int round = 0; round < 20'000; ++round)
     {
-        auto bytes = whole;
+        auto bytes = complete;
         bytes[random() % bytes.size()] = static_cast<char> (random());
         const auto read = decodeSuspectNews (bytes);
 
@@ -324,7 +329,7 @@
 
         for (const auto& record : read->records)
             EXPECT_TRUE (! record.crashes.empty() &&
-                         record.crashes.size() <= CrashLedger::mostCrashes);
+                         record.crashes.size() <= CrashLedger::maxCrashesPerSuspect);
     }
 }
 
