--- a/src/mesh/crash_watch.cc
+++ b/src/mesh/crash_watch.cc
@@ -19,52 +19,52 @@
 
 void CrashWatch::add (const UnansweredRun& run)
 {
-    // The former incarnation's crash has been told; this one has nothing to do with it. Nor has
-    // what was sent to one that was gone already.
-    if (run.startedAt >= since && run.startedAt <= crashedAt && runs.size() < mostRuns)
+    // Runs that began at a former incarnation are ignored: its crash has been reported and says
+    // nothing about this one. Requests sent after the crash can't have caused it either.
+    if (run.startedAt >= incarnationStart && run.startedAt <= crashedAt && runs.size() < maxRuns)
         runs.push_back (run);
 }
 
 void CrashWatch::answered (Timestamp now, Timestamp sentAt)
 {
-    const auto livedAt = std::max<Timestamp> (sentAt, now - handlingTime);
-    std::erase_if (runs, [&] (const auto& run) { return run.endedAt <= livedAt; });
-    questionsCut = 0;
+    const auto aliveAt = std::max<Timestamp> (sentAt, now - maxHandlingDelay);
+    std::erase_if (runs, [&] (const auto& run) { return run.endedAt <= aliveAt; });
+    failedProbes = 0;
 
-    if (sentAt >= goneAt)
+    if (sentAt >= detectedAt)
         forgetCrash();
 }
 
-void CrashWatch::gone (Timestamp now) { begin (now, false); }
+void CrashWatch::gone (Timestamp now) { beginCrash (now, false); }
 
-void CrashWatch::replaced (Timestamp now) { begin (now, true); }
+void CrashWatch::replaced (Timestamp now) { beginCrash (now, true); }
 
 void CrashWatch::questionCut (Timestamp now, Timestamp oldestRun)
 {
     if (! wondering() || oldestRun < runs.front().endedAt)
         return;
 
-    if (++questionsCut >= questionsCutUntilGone)
-        begin (now, true);
+    if (++failedProbes >= failedProbesUntilGone)
+        beginCrash (now, true);
 }
 
-void CrashWatch::begin (Timestamp now, bool isUnnoticed)
+void CrashWatch::beginCrash (Timestamp now, bool isDetectedLate)
 {
     if (crash != 0 || runs.empty())
         return;
 
     ++crashes;
     crash = XXH3_64bits_withSeed (&crashes, sizeof (crashes), crashSeed);
-    goneAt = now;
-    wasUnnoticed = isUnnoticed;
+    detectedAt = now;
+    wasDetectedLate = isDetectedLate;
 }
 
 void CrashWatch::restarted (Timestamp now)
 {
     runs.clear();
     forgetCrash();
-    questionsCut = 0;
-    since = now;
+    failedProbes = 0;
+    incarnationStart = now;
 }
 
 void CrashWatch::forgetCrash()
@@ -78,19 +78,19 @@
     return std::any_of (runs.begin(), runs.end(),
                         [&] (const auto& other) {
                             return other.startedAt < run.endedAt &&
-                                   other.endedAt > run.endedAt + handlingTime;
+                                   other.endedAt > run.endedAt + maxHandlingDelay;
                         });
 }
 
-/** Nothing that is sent to a port that refuses counts as a run, so the last run ended with the
-   crash. Where it went unnoticed, what was sent later looks like runs, too: then it is the first
-   end that no other run outlived.
+/** Requests to a port that refuses connections don't count as runs, so normally the last run ended
+    with the crash. If the crash was detected late, requests that were sent after it look like runs
+    as well; then it is the end of the first run that no other run outlived.
 */
 Timestamp CrashWatch::crashTime() const
 {
-    if (wasUnnoticed)
+    if (wasDetectedLate)
         for (const auto& run : runs)
-            if (! run.brokenOff && ! isOutlived (run))
+            if (! run.wasAborted && ! isOutlived (run))
                 return run.endedAt;
 
     return runs.back().endedAt;
@@ -106,7 +106,7 @@
     crashedAt = std::min (crashedAt, time);
 
     for (const auto& run : runs)
-        if (run.startedAt <= time && run.endedAt >= time - afterEffectTime)
+        if (run.startedAt <= time && run.endedAt >= time - delayedCrashTime)
             report.requests.push_back (run.request);
 
     runs.clear();
--- a/src/mesh/crash_watch.h
+++ b/src/mesh/crash_watch.h
@@ -1,6 +1,7 @@
-/** Tells a crash of the instance beside a node from answers that were merely lost, and says what
-   ran there. A connection that ends without an answer proves nothing; it takes an instance that is
-   gone or has begun anew since. Deciding code without I/O.
+/** Distinguishes a crash of the instance beside a node from answers that were merely lost, and
+    reports which requests ran there. A connection that ends without an answer doesn't prove a
+    crash; the instance must also be gone or have been restarted. This code decides only; it does no
+    I/O.
 */
 #pragma once
 
@@ -15,10 +16,10 @@
 namespace copperlead::mesh
 {
 
-/** What ran at an instance as it crashed; any of it may be the cause. */
+/** The requests that ran at an instance when it crashed; any of them may be the cause. */
 struct CrashReport
 {
-    std::uint64_t crash = 0; /**< Tells this crash from all others. */
+    std::uint64_t crash = 0; /**< Identifies this crash among all others. */
     std::vector<RequestDigest> requests;
 };
 
@@ -26,65 +27,75 @@
 class CrashWatch
 {
 public:
-    /** The most runs that are kept; the first since the instance was last known to live are, since
-        what is sent to one that is gone may look like a run, too.
+    /** Maximum number of unanswered runs that are kept. The first ones after the instance was last
+        known to be alive are kept and later ones dropped, because requests that are sent to an
+        instance that is already gone may look like runs as well.
     */
-    static constexpr std::size_t mostRuns = 256;
+    static constexpr std::size_t maxRuns = 256;
 
-    /** All connections of an instance end with it, but a busy node handles their ends, and answers
-        that were written before, this long apart.
+    /** All connections of an instance end at once when it crashes, but a busy node may handle their
+        ends, and answers that were written before the crash, up to this long apart.
     */
-    static constexpr Milliseconds handlingTime{ 150 };
+    static constexpr Milliseconds maxHandlingDelay{ 150 };
 
-    /** A run that was broken off may still crash its instance so much later. */
-    static constexpr Milliseconds afterEffectTime{ 500 };
+    /** Time for which an aborted run may still crash its instance. */
+    static constexpr Milliseconds delayedCrashTime{ 500 };
 
-    /** One question may be lost by the way there, or be cut by an instance that is merely full. */
-    static constexpr int questionsCutUntilGone = 2;
+    /** Number of unanswered health probes since the last answer after which the instance counts as
+        gone. A single one may be lost on the way, or be closed by an instance that is merely
+        overloaded.
+    */
+    static constexpr int failedProbesUntilGone = 2;
 
-    /** @param seed  differs between nodes, and between two starts of one */
+    /** @param seed  must differ between nodes, and between two starts of the same node */
     explicit CrashWatch (std::uint64_t seed)
         : crashSeed (seed)
     {
     }
 
-    /** A run ended without the instance's answer. */
+    /** Records a run that ended without an answer of the instance. */
     void unanswered (Timestamp now, Timestamp startedAt, const RequestDigest& request);
 
-    /** A run was broken off at the instance. */
+    /** Records a run that was aborted at the instance. */
     void brokenOff (Timestamp now, Timestamp startedAt, const RequestDigest& request);
 
-    /** The instance answered now what was sent to it at that time: what ended before was no crash.
-        Ends a crash that was known before, which must have been reported.
+    /** Records that the instance has now answered a request that was sent to it at the given time.
+        Runs that ended before that time, or more than maxHandlingDelay ago, weren't ended by a
+        crash. If the request was sent after a crash was detected, that crash is over; it must have
+        been reported before this call.
     */
     void answered (Timestamp now, Timestamp sentAt);
 
-    /** Nothing listens at the instance's address any longer. */
+    /** Records that nothing listens at the instance's address any longer. */
     void gone (Timestamp now);
 
-    /** Another incarnation has the address: the former is gone, since when isn't known. */
+    /** Records that another incarnation has the address. The time when the former one ended is
+        unknown.
+    */
     void replaced (Timestamp now);
 
-    /** A question whether the instance lives was taken and ended without an answer: of an instance
-        that lives behind a port of another program, or whose port still accepts, nothing else shows
-        that it is gone.
-        @param oldestRun  when the first of the runs under way began: one that has outlived those
-                          that were lost shows that it lives
+    /** Records that a health probe was accepted by the instance's port and ended without an answer.
+        Nothing else shows that an instance is gone if its port belongs to another program or still
+        accepts connections.
+        @param oldestRun  start of the oldest run in progress; if it began before the first
+                          unanswered run ended, the instance is still alive
     */
     void questionCut (Timestamp now, Timestamp oldestRun);
 
-    /** From now on runs are the next incarnation's; what ran at the former has been reported. */
+    /** Starts a new incarnation: only runs that start from now on belong to it. A crash of the
+        former one must have been reported before this call.
+    */
     void restarted (Timestamp now);
 
-    /** Whether it isn't known yet if the instance crashed. */
+    /** Returns whether there are unanswered runs and it isn't known yet if the instance crashed. */
     bool wondering() const { return crash == 0 && ! runs.empty(); }
 
-    /** What hasn't been reported yet of a crash; a second report of one crash tells what became
-        known later.
+    /** Returns the part of a crash that hasn't been reported yet. A further report of the same
+        crash holds the requests that became known after the previous one.
     */
     std::optional<CrashReport> takeReport();
 
-    /** Crashes since the start. */
+    /** Returns the number of crashes detected since the start of the node. */
     std::uint64_t count() const { return crashes; }
 
 private:
@@ -92,22 +103,22 @@
     {
         RequestDigest request;
         Timestamp startedAt{}, endedAt{};
-        bool brokenOff = false;
+        bool wasAborted = false;
     };
 
     void add (const UnansweredRun& run);
-    void begin (Timestamp now, bool isUnnoticed);
+    void beginCrash (Timestamp now, bool isDetectedLate);
     void forgetCrash();
     bool isOutlived (const UnansweredRun& run) const;
     Timestamp crashTime() const;
 
     std::uint64_t crashSeed, crashes = 0;
-    std::uint64_t crash = 0; /**< Under way; 0: none is known. */
-    Timestamp goneAt{};
-    Timestamp crashedAt = Timestamp::max(); /**< As first reported; the largest time before. */
-    bool wasUnnoticed = false;              /**< Some was sent there after it. */
-    int questionsCut = 0;                   /**< Since the last answer. */
-    Timestamp since = Timestamp::min();     /**< This incarnation's runs began later. */
+    std::uint64_t crash = 0; /**< The current crash; 0 if none is known. */
+    Timestamp detectedAt{};
+    Timestamp crashedAt = Timestamp::max(); /**< Time of the current crash; max() until reported. */
+    bool wasDetectedLate = false;           /**< Requests may have been sent there after it. */
+    int failedProbes = 0;                   /**< Number since the last answer. */
+    Timestamp incarnationStart = Timestamp::min(); /**< Earlier runs belong to a former one. */
     std::deque<UnansweredRun> runs;
 };
 
--- a/tests/mesh/crash_watch_test.cc
+++ b/tests/mesh/crash_watch_test.cc
@@ -11,8 +11,8 @@
 
 Timestamp at (int milliseconds) { return Timestamp (Milliseconds (milliseconds)); }
 
-/** A watch under which the first request's run, begun at 0 ms, got no answer at 40 ms. */
-CrashWatch watchOfALostAnswer()
+/** Returns a watch with one run of the first request, from 0 ms to 40 ms, that got no answer. */
+CrashWatch watchWithLostAnswer()
 {
     CrashWatch watch (7);
     watch.unanswered (at (40), at (0), first);
@@ -21,14 +21,14 @@
 
 TEST (CrashWatch, ALostAnswerAloneIsNoCrash)
 {
-    auto watch = watchOfALostAnswer();
+    auto watch = watchWithLostAnswer();
     EXPECT_TRUE (watch.wondering());
     EXPECT_FALSE (watch.takeReport());
 }
 
-TEST (CrashWatch, AnInstanceThatIsGoneHasCrashedUnderAllThatRan)
+TEST (CrashWatch, ReportsAllRunsOfAnInstanceThatIsGone)
 {
-    auto watch = watchOfALostAnswer();
+    auto watch = watchWithLostAnswer();
     watch.unanswered (at (41), at (10), second);
     watch.gone (at (50));
     const auto report = watch.takeReport();
@@ -37,51 +37,51 @@
     EXPECT_FALSE (watch.takeReport());
 }
 
-TEST (CrashWatch, OneThatAnswersWhatWasSentLaterLives)
+TEST (CrashWatch, AnAnswerToALaterRequestShowsThatTheInstanceIsAlive)
 {
-    auto watch = watchOfALostAnswer();
+    auto watch = watchWithLostAnswer();
     watch.answered (at (60), at (41));
     watch.gone (at (500));
     EXPECT_FALSE (watch.takeReport());
 }
 
-TEST (CrashWatch, AnAnswerToWhatWasSentBeforeSaysNothing)
+TEST (CrashWatch, AnAnswerToAnEarlierRequestProvesNothing)
 {
-    auto watch = watchOfALostAnswer();
+    auto watch = watchWithLostAnswer();
     watch.answered (at (60), at (39));
     watch.gone (at (50));
     EXPECT_TRUE (watch.takeReport());
 }
 
-TEST (CrashWatch, WhatEndsAfterItWasKnownBelongsToTheSameCrash)
+TEST (CrashWatch, RunsThatEndAfterTheDetectionBelongToTheSameCrash)
 {
-    auto watch = watchOfALostAnswer();
+    auto watch = watchWithLostAnswer();
     watch.gone (at (50));
-    const auto told = watch.takeReport();
+    const auto firstReport = watch.takeReport();
     watch.unanswered (at (51), at (10), second);
     watch.gone (at (60));
-    const auto toldLater = watch.takeReport();
-    ASSERT_TRUE (told && toldLater);
-    EXPECT_EQ (told->crash, toldLater->crash);
-    EXPECT_EQ (toldLater->requests, std::vector{ second });
+    const auto laterReport = watch.takeReport();
+    ASSERT_TRUE (firstReport && laterReport);
+    EXPECT_EQ (firstReport->crash, laterReport->crash);
+    EXPECT_EQ (laterReport->requests, std::vector{ second });
 }
 
-TEST (CrashWatch, TheNextCrashIsAnother)
+TEST (CrashWatch, TheNextCrashHasAnotherId)
 {
-    auto watch = watchOfALostAnswer();
+    auto watch = watchWithLostAnswer();
     watch.gone (at (50));
-    const auto told = watch.takeReport();
+    const auto firstReport = watch.takeReport();
     watch.restarted (at (2000));
     watch.unanswered (at (2050), at (2010), first);
     watch.gone (at (2060));
-    const auto toldNext = watch.takeReport();
-    ASSERT_TRUE (told && toldNext);
-    EXPECT_NE (told->crash, toldNext->crash);
+    const auto nextReport = watch.takeReport();
+    ASSERT_TRUE (firstReport && nextReport);
+    EXPECT_NE (firstReport->crash, nextReport->crash);
 }
 
-TEST (CrashWatch, WhatBeganAtTheFormerIncarnationSaysNothingOfTheNext)
+TEST (CrashWatch, IgnoresRunsThatBeganAtAFormerIncarnation)
 {
-    auto watch = watchOfALostAnswer();
+    auto watch = watchWithLostAnswer();
     watch.gone (at (50));
     watch.takeReport();
     watch.restarted (at (2000));
@@ -90,17 +90,17 @@
     EXPECT_FALSE (watch.takeReport());
 }
 
-TEST (CrashWatch, OneThatAnswersAnythingLongAfterALossHasOutlivedIt)
+TEST (CrashWatch, AnyAnswerLongAfterALostOneShowsThatTheInstanceIsAlive)
 {
-    auto watch = watchOfALostAnswer();
-    watch.answered (at (41) + CrashWatch::handlingTime, at (10));
+    auto watch = watchWithLostAnswer();
+    watch.answered (at (41) + CrashWatch::maxHandlingDelay, at (10));
     watch.gone (at (500));
     EXPECT_FALSE (watch.takeReport());
 }
 
-TEST (CrashWatch, WhatWasLostLongBeforeIsNotTold)
+TEST (CrashWatch, DoesNotReportRunsThatEndedLongBefore)
 {
-    auto watch = watchOfALostAnswer();
+    auto watch = watchWithLostAnswer();
     watch.unanswered (at (700), at (20), second);
     watch.gone (at (710));
     const auto report = watch.takeReport();
@@ -108,9 +108,9 @@
     EXPECT_EQ (report->requests, std::vector{ second });
 }
 
-TEST (CrashWatch, WhatWasSentToADeadInstanceThatNobodyMissedDidNotCrashIt)
+TEST (CrashWatch, DoesNotReportRequestsSentAfterACrashDetectedLate)
 {
-    auto watch = watchOfALostAnswer();
+    auto watch = watchWithLostAnswer();
 
     for (int sent = 0; sent < 1000; ++sent)
         watch.unanswered (at (52 + 2 * sent), at (51 + 2 * sent), second);
@@ -121,53 +121,53 @@
     EXPECT_EQ (report->requests, std::vector{ first });
 }
 
-constexpr Timestamp nothingRuns = Timestamp::max();
+constexpr Timestamp noRuns = Timestamp::max();
 
-/** The connections of two questions whether it lives ended without an answer, 100 ms apart. */
-void cutTwoQuestions (CrashWatch& watch, Timestamp oldestRun)
+/** Two health probes, 100 ms apart, end without an answer. */
+void failTwoProbes (CrashWatch& watch, Timestamp oldestRun)
 {
     watch.questionCut (at (140), oldestRun);
     watch.questionCut (at (240), oldestRun);
 }
 
-TEST (CrashWatch, OneWhosePortAcceptsAndAnswersNothingIsGone)
+TEST (CrashWatch, AnInstanceThatAnswersNoProbeIsGone)
 {
-    auto watch = watchOfALostAnswer();
-    cutTwoQuestions (watch, nothingRuns);
+    auto watch = watchWithLostAnswer();
+    failTwoProbes (watch, noRuns);
     const auto report = watch.takeReport();
     ASSERT_TRUE (report);
     EXPECT_EQ (report->requests, std::vector{ first });
 }
 
-TEST (CrashWatch, OneCutQuestionSaysNothing)
+TEST (CrashWatch, OneUnansweredProbeProvesNothing)
 {
-    auto watch = watchOfALostAnswer();
-    watch.questionCut (at (140), nothingRuns);
+    auto watch = watchWithLostAnswer();
+    watch.questionCut (at (140), noRuns);
     EXPECT_FALSE (watch.takeReport());
 }
 
-TEST (CrashWatch, CutQuestionsCountFromTheLastAnswerOn)
+TEST (CrashWatch, UnansweredProbesCountFromTheLastAnswerOn)
 {
-    auto watch = watchOfALostAnswer();
-    watch.questionCut (at (140), nothingRuns);
+    auto watch = watchWithLostAnswer();
+    watch.questionCut (at (140), noRuns);
     watch.answered (at (150), at (30));
     watch.unanswered (at (200), at (160), second);
-    watch.questionCut (at (240), nothingRuns);
+    watch.questionCut (at (240), noRuns);
     EXPECT_FALSE (watch.takeReport());
 }
 
-TEST (CrashWatch, OneWhoseOlderRunsGoOnLives)
+TEST (CrashWatch, AnInstanceWithOlderRunsInProgressIsAlive)
 {
-    auto watch = watchOfALostAnswer();
-    cutTwoQuestions (watch, at (20));
+    auto watch = watchWithLostAnswer();
+    failTwoProbes (watch, at (20));
     EXPECT_FALSE (watch.takeReport());
 }
 
-TEST (CrashWatch, WhatWasSentToOneThatIsGoneDidNotCrashIt)
+TEST (CrashWatch, DoesNotReportRequestsSentAfterFailedProbesShowedACrash)
 {
-    auto watch = watchOfALostAnswer();
+    auto watch = watchWithLostAnswer();
     watch.unanswered (at (130), at (120), second);
-    cutTwoQuestions (watch, nothingRuns);
+    failTwoProbes (watch, noRuns);
     const auto report = watch.takeReport();
     ASSERT_TRUE (report);
     EXPECT_EQ (report->requests, std::vector{ first });
@@ -175,21 +175,21 @@
     EXPECT_FALSE (watch.takeReport());
 }
 
-TEST (CrashWatch, WhatWasBrokenOffShortlyBeforeIsToldWithTheRest)
+TEST (CrashWatch, ReportsRunsAbortedShortlyBefore)
 {
-    for (const bool noticed : { true, false })
+    for (const bool detectedAtOnce : { true, false })
     {
         CrashWatch watch (7);
         watch.brokenOff (at (10), at (0), second);
         watch.unanswered (at (400), at (100), first);
-        noticed ? watch.gone (at (410)) : watch.replaced (at (410));
+        detectedAtOnce ? watch.gone (at (410)) : watch.replaced (at (410));
         const auto report = watch.takeReport();
         ASSERT_TRUE (report);
         EXPECT_EQ (report->requests, (std::vector{ second, first }));
     }
 }
 
-TEST (CrashWatch, TwoNodesNameTheirCrashesDifferently)
+TEST (CrashWatch, CrashesOfTwoNodesHaveDifferentIds)
 {
     CrashWatch one (7), other (8);
 
