--- a/src/mesh/hop_header.cc
+++ b/src/mesh/hop_header.cc
@@ -9,7 +9,7 @@
 namespace
 {
 
-/** Appends pairs; values lose what would end them. */
+/** Appends pairs. Characters that would end a value are replaced by '_'. */
 class Writer
 {
 public:
@@ -24,7 +24,9 @@
             text += c > ' ' && c < '\x7f' && c != ';' ? c : '_';
     }
 
-    /** Any text: what would end the value, or a header field, is escaped. */
+    /** Adds a value that may hold any text. Characters that would end the value or the header field
+        are escaped.
+    */
     void addEscaped (std::string_view name, std::string_view value)
     {
         constexpr std::string_view digits = "0123456789ABCDEF";
@@ -62,7 +64,7 @@
 };
 
 /** @returns false when a pair has no '=' */
-bool split (std::string_view text, std::vector<Pair>& pairs)
+bool splitPairs (std::string_view text, std::vector<Pair>& pairs)
 {
     while (! text.empty())
     {
@@ -79,18 +81,18 @@
     return true;
 }
 
-bool number (std::string_view text, std::int64_t& value)
+bool parseInteger (std::string_view text, std::int64_t& value)
 {
     const auto* const end = text.data() + text.size();
     const auto [stop, code] = std::from_chars (text.data(), end, value);
     return code == std::errc() && stop == end;
 }
 
-/** Reads the pairs one by one and notes whether a number was malformed. */
+/** Returns the values of pairs by name and records whether any of them was malformed. */
 class Reader
 {
 public:
-    explicit Reader (std::string_view text) { valid = split (text, pairs); }
+    explicit Reader (std::string_view text) { valid = splitPairs (text, pairs); }
 
     std::string text (std::string_view name) const
     {
@@ -101,7 +103,7 @@
         return {};
     }
 
-    /** A text that was escaped. */
+    /** Returns a text that was written by Writer::addEscaped. */
     std::string unescaped (std::string_view name)
     {
         const auto value = text (name);
@@ -124,12 +126,12 @@
         return plain;
     }
 
-    std::int64_t whole (std::string_view name)
+    std::int64_t integer (std::string_view name)
     {
         const auto found = text (name);
         std::int64_t value = 0;
 
-        if (! found.empty() && ! number (found, value))
+        if (! found.empty() && ! parseInteger (found, value))
             valid = false;
 
         return value;
@@ -189,12 +191,12 @@
     request.callerService = reader.text ("caller");
     request.instanceId = reader.text ("instance");
     request.route = reader.text ("route");
-    request.timeLeft = Milliseconds (reader.whole ("left"));
-    request.targetLeft = Milliseconds (reader.whole ("target"));
-    request.priority = static_cast<int> (reader.whole ("priority"));
-    request.mayRepeat = reader.whole ("may_repeat") == 1;
-    request.isRepeat = reader.whole ("repeat") == 1;
-    request.usualRunMs = static_cast<double> (reader.whole ("run"));
+    request.timeLeft = Milliseconds (reader.integer ("left"));
+    request.targetLeft = Milliseconds (reader.integer ("target"));
+    request.priority = static_cast<int> (reader.integer ("priority"));
+    request.mayRepeat = reader.integer ("may_repeat") == 1;
+    request.isRepeat = reader.integer ("repeat") == 1;
+    request.usualRunMs = static_cast<double> (reader.integer ("run"));
     request.tenant = reader.unescaped ("tenant");
 
     if (! reader.isValid() || request.service.empty())
@@ -207,15 +209,15 @@
 {
     Reader reader (text);
     HopReport report;
-    const auto outcome = reader.whole ("outcome");
-    const auto cause = reader.whole ("cause");
+    const auto outcome = reader.integer ("outcome");
+    const auto cause = reader.integer ("cause");
     report.instanceId = reader.text ("instance");
-    report.load = static_cast<double> (reader.whole ("load"));
-    report.runMs = static_cast<double> (reader.whole ("run"));
-    report.tookMs = static_cast<double> (reader.whole ("took"));
-    report.waitedMs = static_cast<double> (reader.whole ("waited"));
-    report.bodyMs = static_cast<double> (reader.whole ("body"));
-    report.configurationVersion = static_cast<std::uint64_t> (reader.whole ("version"));
+    report.load = static_cast<double> (reader.integer ("load"));
+    report.runMs = static_cast<double> (reader.integer ("run"));
+    report.tookMs = static_cast<double> (reader.integer ("took"));
+    report.waitedMs = static_cast<double> (reader.integer ("waited"));
+    report.bodyMs = static_cast<double> (reader.integer ("body"));
+    report.configurationVersion = static_cast<std::uint64_t> (reader.integer ("version"));
 
     if (! reader.isValid() || outcome < 0 || outcome >= std::ssize (hopOutcomeNames) || cause < 0 ||
         cause >= std::ssize (hopCauseNames))
--- a/src/mesh/hop_header.h
+++ b/src/mesh/hop_header.h
@@ -1,6 +1,5 @@
-/** What two nodes tell each other about a request, in one header field of the request and one of
-    the answer: `name=value` pairs joined by ';'. Names that the reader doesn't know are passed
-   over.
+/** The header field in which two nodes exchange data about a request: one in the request, one in
+    the answer. It holds `name=value` pairs joined by ';'. The reader ignores unknown names.
 */
 #pragma once
 
@@ -15,57 +14,57 @@
 namespace copperlead::mesh
 {
 
-/** The field's name in requests and answers. */
+/** Name of the header field, both in requests and in answers. */
 inline constexpr std::string_view hopField = "copperlead-hop";
 
-/** Bodies of that many bytes are held back until the other node calls for them. */
+/** Size from which on the body of a request is sent only when the other node asks for it. */
 inline constexpr std::size_t largeBodyBytes = 16'384;
 
-/** From the node that took the request to the node beside the chosen instance. */
+/** Sent by the node that received the request to the node beside the chosen instance. */
 struct HopRequest
 {
     std::string requestId;
-    std::string service;       /**< That the configuration sends the request to. */
-    std::string callerService; /**< Beside whose instance the request began. */
-    std::string instanceId;    /**< That was chosen. */
+    std::string service;       /**< The service to which the configuration routes the request. */
+    std::string callerService; /**< The service whose instance sent the request. */
+    std::string instanceId;    /**< The chosen instance. */
     std::string route;
     Milliseconds timeLeft{};
-    Milliseconds targetLeft{}; /**< Until the answer counts as late; may be negative. */
+    Milliseconds targetLeft{}; /**< Time until the answer counts as late; may be negative. */
     int priority = 0;
     bool mayRepeat = false;
     bool isRepeat = false; /**< An instance may have run this request before. */
     double usualRunMs = 0;
-    std::string tenant; /**< Whose request it is; empty: nobody's. */
+    std::string tenant; /**< Empty for a request without a tenant. */
 };
 
-/** What became of the request at the node beside the instance. */
+/** The result of the request at the node beside the instance. */
 enum class HopOutcome : std::uint8_t
 {
-    ran,      /**< The rest of the answer is the instance's. */
-    notRun,   /**< No instance was offered it. */
-    rejected, /**< The instance said that it did not run it. */
-    unknown   /**< It may have run. */
+    ran,      /**< The rest of the answer comes from the instance. */
+    notRun,   /**< The request wasn't sent to any instance. */
+    rejected, /**< The instance reported that it did not run the request. */
+    unknown   /**< The request may have run. */
 };
 
 inline constexpr std::string_view hopOutcomeNames[] = { "ran", "not_run", "rejected", "unknown" };
 
-/** Why a request was not run, or its answer is missing. */
+/** The reason why a request did not run or its answer is missing. */
 enum class HopCause : std::uint8_t
 {
     none,
-    queueFull, /**< It can't be expected to finish in time behind the others. */
-    expired,   /**< Its time ran out in the queue. */
+    queueFull, /**< It can't be expected to finish in time behind the queued requests. */
+    expired,   /**< Its deadline passed while it was queued. */
     instanceLeaving,
-    instanceUnknown, /**< The node hasn't learned yet which instance runs beside it. */
+    instanceUnknown, /**< The node doesn't know yet which instance runs beside it. */
     instanceDown,
     otherService,
-    instanceRejected, /**< By the instance's own word. */
-    otherInstance,    /**< Another instance has the address. */
-    answerLost,       /**< The connection ended, or the time, without a whole answer. */
-    answerBroken,     /**< The answer was not the instance's whole, signed one. */
+    instanceRejected, /**< The instance reported that it did not run it. */
+    otherInstance,    /**< The address belongs to another instance. */
+    answerLost,   /**< The connection ended, or the deadline passed, without a complete answer. */
+    answerBroken, /**< The answer was not the complete, signed answer of the instance. */
     nodeStopping,
     linkFull,     /**< Its body can't be expected to arrive in time over the node's link. */
-    instanceCold, /**< As queueFull, at an instance that is cold. */
+    instanceCold, /**< Like queueFull, at an instance that is cold. */
     zoneEvacuated,
     crashSuspect /**< Instances crashed while this request ran there; see CrashLedger. */
 };
@@ -77,30 +76,31 @@
     "crash_suspect"
 };
 
-/** True when a request was turned away since more was asked than there was room for. */
+/** Returns whether a request was refused for lack of capacity. */
 constexpr bool isAboutLoad (HopCause cause)
 {
     return cause == HopCause::queueFull || cause == HopCause::linkFull ||
            cause == HopCause::instanceCold;
 }
 
+/** Sent with the answer by the node beside the chosen instance. */
 struct HopReport
 {
     HopOutcome outcome = HopOutcome::unknown;
     HopCause cause = HopCause::none;
-    std::string instanceId; /**< That runs beside the answering node. */
-    double load = 0;        /**< Requests that run and wait there. */
-    double runMs = 0;       /**< Usual time of a run there. */
-    double tookMs = 0;      /**< This run's time at the instance. */
-    double waitedMs = 0;    /**< In this node's queue. */
-    double bodyMs = 0;      /**< Until a large body would have arrived over its link. */
+    std::string instanceId; /**< The instance beside the answering node. */
+    double load = 0;        /**< Number of requests running and waiting there. */
+    double runMs = 0;       /**< Usual duration of a run there. */
+    double tookMs = 0;      /**< Duration of this run at the instance. */
+    double waitedMs = 0;    /**< Time spent in the queue of the answering node. */
+    double bodyMs = 0;      /**< Time until a large body sent now would arrive over its link. */
     std::uint64_t configurationVersion = 0;
 };
 
 std::string encode (const HopRequest& request);
 std::string encode (const HopReport& report);
 
-/** @returns nothing when a pair is malformed or a needed one is missing */
+/** @returns nothing when a pair is malformed or a required one is missing */
 std::optional<HopRequest> decodeHopRequest (std::string_view text);
 std::optional<HopReport> decodeHopReport (std::string_view text);
 
--- a/src/mesh/request_digest.cc
+++ b/src/mesh/request_digest.cc
@@ -10,7 +10,8 @@
 {
     std::uint64_t digest = 0;
 
-    // Each part is the seed of the next, so that no two ways to divide a text look alike.
+    // The digest of each part is the seed of the next one, so that the same text divided into parts
+    // in another way has another digest.
     for (const auto part : { request.method, request.host, request.target, request.tenant })
         digest = XXH3_64bits_withSeed (part.data(), part.size(), digest);
 
--- a/src/mesh/request_digest.h
+++ b/src/mesh/request_digest.h
@@ -1,6 +1,7 @@
-/** Tells whether two requests are the same one that came again: same method, host, target, tenant
-    and body. Their ids differ with each attempt of a client, and so may the machine that they come
-    to, so neither counts. Only digests are kept, logged and passed between nodes.
+/** Digests by which repetitions of a request are recognised: requests with the same method, host,
+    target, tenant and body count as the same. The request id isn't included because it differs with
+    each attempt of a client, nor is the machine that receives the request, because that may differ
+    as well. Only digests are kept, logged and passed between nodes.
 */
 #pragma once
 
@@ -12,28 +13,28 @@
 namespace copperlead::mesh
 {
 
-/** What a request is told by. */
+/** The parts of a request that identify it. */
 struct RequestIdentity
 {
     std::string_view method, host, target;
-    std::string_view tenant; /**< Empty: nobody's. */
-    std::string_view body;   /**< Whole. */
+    std::string_view tenant; /**< Empty for a request without a tenant. */
+    std::string_view body;   /**< The complete body. */
 };
 
 struct RequestDigest
 {
-    std::uint64_t head = 0; /**< Of all but the body, so that few bodies need to be read. */
+    std::uint64_t head = 0; /**< Covers all but the body, so that few bodies need to be read. */
     std::uint64_t body = 0;
 
     auto operator<=> (const RequestDigest&) const = default;
 };
 
-/** RequestDigest::head of a request. */
+/** Returns the RequestDigest::head of a request. */
 std::uint64_t headDigestOf (const RequestIdentity& request);
 
 RequestDigest digestOf (const RequestIdentity& request);
 
-/** 32 hexadecimal digits, for logs. */
+/** Returns 32 hexadecimal digits, for logs. */
 std::string toText (const RequestDigest& digest);
 
 } // namespace copperlead::mesh
--- a/tests/mesh/hop_header_test.cc
+++ b/tests/mesh/hop_header_test.cc
@@ -7,7 +7,7 @@
 namespace
 {
 
-TEST (HopHeader, RequestsComeBackAsTheyWere)
+TEST (HopHeader, RequestsRoundTrip)
 {
     HopRequest request;
     request.requestId = "9c41.d07";
@@ -28,7 +28,7 @@
     EXPECT_FALSE (read->isRepeat);
 }
 
-TEST (HopHeader, ReportsComeBackAsTheyWere)
+TEST (HopHeader, ReportsRoundTrip)
 {
     HopReport report;
     report.outcome = HopOutcome::notRun;
@@ -54,12 +54,13 @@
     EXPECT_EQ (decodeHopRequest (text)->priority, 5);
 }
 
-TEST (HopHeader, TenantsOfAnyNameComeBackAsTheyWere)
+TEST (HopHeader, TenantsOfAnyNameRoundTrip)
 {
     HopRequest request;
     request.service = "desk";
     const auto without = encode (request);
-    EXPECT_EQ (without.find ("tenant"), std::string::npos) << "costs nothing where there is none";
+    EXPECT_EQ (without.find ("tenant"), std::string::npos)
+        << "a request without a tenant has no tenant pair";
 
     for (const auto* name : { "plain", "two words", "a;priority=0", "50% \xc3\xa9", "%41" })
     {
@@ -74,7 +75,7 @@
     EXPECT_FALSE (decodeHopRequest (without + ";tenant=%zz"));
 }
 
-TEST (HopHeader, DamagedTextIsRefusedAndUnknownPairsArePassedOver)
+TEST (HopHeader, RejectsMalformedTextAndIgnoresUnknownPairs)
 {
     for (const auto* text :
          { "", "service", "service=desk;left=x", "service=desk;left=1e", "id=1" })
--- a/tests/mesh/request_digest_test.cc
+++ b/tests/mesh/request_digest_test.cc
@@ -9,23 +9,23 @@
 namespace
 {
 
-const RequestIdentity usual{ "GET", "shop.example", "/look/1?a=b", "gold", "body" };
+const RequestIdentity sample{ "GET", "shop.example", "/look/1?a=b", "gold", "body" };
 
-TEST (RequestDigest, TheSameRequestHasTheSameDigest)
+TEST (RequestDigest, EqualRequestsHaveEqualDigests)
 {
-    const auto again = usual;
-    EXPECT_EQ (digestOf (usual), digestOf (again));
-    EXPECT_EQ (digestOf (usual).head, headDigestOf (usual));
+    const auto repeated = sample;
+    EXPECT_EQ (digestOf (sample), digestOf (repeated));
+    EXPECT_EQ (digestOf (sample).head, headDigestOf (sample));
 }
 
-TEST (RequestDigest, EachPartTells)
+TEST (RequestDigest, DependsOnEachPart)
 {
-    std::set<RequestDigest> digests{ digestOf (usual) };
+    std::set<RequestDigest> digests{ digestOf (sample) };
 
     for (auto part : { &RequestIdentity::method, &RequestIdentity::host, &RequestIdentity::target,
                        &RequestIdentity::tenant, &RequestIdentity::body })
     {
-        auto other = usual;
+        auto other = sample;
         other.*part = "other";
         digests.insert (digestOf (other));
     }
@@ -33,7 +33,7 @@
     EXPECT_EQ (digests.size(), 6U);
 }
 
-TEST (RequestDigest, WhereAPartEndsTells)
+TEST (RequestDigest, DependsOnWhereAPartEnds)
 {
     EXPECT_NE (headDigestOf ({ "GET", "a", "b/", "", "" }),
                headDigestOf ({ "GET", "ab", "/", "", "" }));
