--- a/src/mesh/admission_queue.cc
+++ b/src/mesh/admission_queue.cc
@@ -79,13 +79,13 @@
 
 bool AdmissionQueue::canStartNow (Timestamp now) const
 {
-    return hasFreeSlot() && waitingByRank.empty() && starts.earliest (now, 0) <= now;
+    return hasFreeSlot() && waitingByRank.empty() && starts.earliestStart (now, 0) <= now;
 }
 
 double AdmissionQueue::expectedWaitBehindMs (Timestamp now, std::size_t before, int priority) const
 {
     const auto slots = static_cast<double> (std::max (limit, 1));
-    const auto startDelayMs = toMilliseconds (starts.earliest (now, before) - now);
+    const auto startDelayMs = toMilliseconds (starts.earliestStart (now, before) - now);
 
     if (before == 0 && hasFreeSlot())
         return startDelayMs;
@@ -178,7 +178,7 @@
     if (canStartNow (now))
     {
         runningById.emplace (request.id, Running{ request.route, request.usualRunMs, now });
-        starts.started (now);
+        starts.recordStart (now);
         ++startCounts[static_cast<std::size_t> (timelinessAt (now, request))];
         return AdmissionDecision::run;
     }
@@ -273,7 +273,7 @@
 
 std::uint64_t AdmissionQueue::next (Timestamp now)
 {
-    if (! hasFreeSlot() || starts.earliest (now, 0) > now)
+    if (! hasFreeSlot() || starts.earliestStart (now, 0) > now)
         return 0;
 
     reclassifyOverdue (now);
@@ -284,7 +284,7 @@
     const auto entry = waitingById.at (waitingByRank.begin()->id);
     const auto id = entry.request.id;
     runningById.emplace (id, Running{ entry.request.route, entry.request.usualRunMs, now });
-    starts.started (now);
+    starts.recordStart (now);
     countStart (now, entry.rank);
     removeWaiting (entry);
     return id;
@@ -327,9 +327,10 @@
     runningById.erase (found);
 }
 
-Timestamp AdmissionQueue::nextBoundedStart (Timestamp now) const
+Timestamp AdmissionQueue::nextRateLimitedStart (Timestamp now) const
 {
-    return hasFreeSlot() && ! waitingByRank.empty() ? starts.earliest (now, 0) : Timestamp::max();
+    return hasFreeSlot() && ! waitingByRank.empty() ? starts.earliestStart (now, 0)
+                                                    : Timestamp::max();
 }
 
 Timestamp AdmissionQueue::nextExpiry() const
--- a/src/mesh/admission_queue.h
+++ b/src/mesh/admission_queue.h
@@ -109,7 +109,7 @@
     /** The time at which next() may return a request that only the limit on starts delays;
         Timestamp::max() when there is none.
     */
-    Timestamp nextBoundedStart (Timestamp now) const;
+    Timestamp nextRateLimitedStart (Timestamp now) const;
 
     std::size_t running() const { return runningById.size(); }
     std::size_t waiting() const { return waitingByRank.size(); }
@@ -120,7 +120,7 @@
     double expectedWaitMs (Timestamp now, int priority) const;
 
     /** Number of runs started so far, by the Timeliness of their requests at the start. */
-    const std::array<std::uint64_t, std::size (timelinessNames)>& begun() const
+    const std::array<std::uint64_t, std::size (timelinessNames)>& startedRuns() const
     {
         return startCounts;
     }
--- a/src/mesh/answer_time.cc
+++ b/src/mesh/answer_time.cc
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void AnswerTime::answered (Duration took)
+void AnswerTime::recordAnswer (Duration took)
 {
     const auto ms = toMilliseconds (took);
     doublings = 0;
@@ -36,7 +36,7 @@
     smoothedMs += smoothing * (ms - smoothedMs);
 }
 
-void AnswerTime::timedOut() { doublings = std::min (doublings + 1, maxDoublings); }
+void AnswerTime::recordTimeOut() { doublings = std::min (doublings + 1, maxDoublings); }
 
 Duration AnswerTime::current() const
 {
--- a/src/mesh/answer_time.h
+++ b/src/mesh/answer_time.h
@@ -14,8 +14,8 @@
 {
 public:
     /** Records an answer and the time since its query was last sent. */
-    void answered (Duration took);
-    void timedOut();
+    void recordAnswer (Duration took);
+    void recordTimeOut();
     Duration current() const;
 
 private:
--- a/src/mesh/avoidance.h
+++ b/src/mesh/avoidance.h
@@ -23,7 +23,7 @@
     thus costs the instance little traffic, and a node that is frozen or cut off is detected again
     by one query per second.
 */
-inline constexpr Milliseconds silentAvoidance{ 1000 };
+inline constexpr Milliseconds unansweredQueryAvoidance{ 1000 };
 
 /** @returns for how long an instance is avoided after its node gave this cause, or zero if the
     cause is no reason to avoid it
--- a/src/mesh/call_share.cc
+++ b/src/mesh/call_share.cc
@@ -22,7 +22,7 @@
     idleByRoute[route].add (instanceIsIdle ? 1 : 0, idleTimeShare);
 }
 
-double CallShare::of (const std::string& route) const
+double CallShare::shareOfCalls (const std::string& route) const
 {
     const auto found = idleByRoute.find (route);
     const auto requestsWhileIdle =
--- a/src/mesh/call_share.h
+++ b/src/mesh/call_share.h
@@ -28,7 +28,7 @@
     void observe (const std::string& route, bool instanceIsIdle);
 
     /** The share of this route's requests that are calls of the instance, from 0 to 1. */
-    double of (const std::string& route) const;
+    double shareOfCalls (const std::string& route) const;
 
 private:
     double idleTimeShare = 0; /**< Recent share of the time in which the instance was idle. */
--- a/src/mesh/cold_start.cc
+++ b/src/mesh/cold_start.cc
@@ -15,14 +15,14 @@
 /** The number of requests per second above which a cold instance fails. */
 double failureThreshold (const ColdProfile& profile, const ColdBounds& bounds)
 {
-    return profile.startsPerSecond * bounds.over + bounds.slack;
+    return profile.startsPerSecond * bounds.overloadFactor + bounds.slack;
 }
 
 } // namespace
 
-int mostColdStarts (const ColdProfile& profile, const ColdBounds& bounds)
+int maxColdStarts (const ColdProfile& profile, const ColdBounds& bounds)
 {
-    if (profile.longest.count() <= 0)
+    if (profile.coldPeriod.count() <= 0)
         return 0;
 
     // Such a low rate is taken to be a configuration error.
@@ -32,15 +32,15 @@
     return std::max (1, static_cast<int> (thresholdShare * failureThreshold (profile, bounds)));
 }
 
-int mostColdStartsInQuarter (const ColdProfile& profile, const ColdBounds& bounds)
+int maxColdStartsPerQuarterSecond (const ColdProfile& profile, const ColdBounds& bounds)
 {
     constexpr int quarters = 4;
-    return (mostColdStarts (profile, bounds) + quarters - 1) / quarters;
+    return (maxColdStarts (profile, bounds) + quarters - 1) / quarters;
 }
 
-int unknownColdStarts (const ColdProfile& profile, const ColdBounds& bounds)
+int assumedColdStarts (const ColdProfile& profile, const ColdBounds& bounds)
 {
-    const auto most = mostColdStarts (profile, bounds);
+    const auto most = maxColdStarts (profile, bounds);
     const auto together = static_cast<int> (failureThreshold (profile, bounds));
     return std::clamp (2 * most - together, 0, most);
 }
@@ -52,14 +52,14 @@
     askedAt = {};
 }
 
-void ColdStart::listed (Timestamp learnedAt, Milliseconds remaining)
+void ColdStart::recordEntry (Timestamp learnedAt, Milliseconds remaining)
 {
-    const auto effective = remaining == unreadableColdTime ? profile.longest : remaining;
+    const auto effective = remaining == unreadableColdTime ? profile.coldPeriod : remaining;
     listedAt = learnedAt;
     listedUntil = effective.count() > 0 ? learnedAt + effective : Timestamp{};
 }
 
-void ColdStart::answered (Timestamp now, std::optional<Milliseconds> remaining)
+void ColdStart::recordAnswer (Timestamp now, std::optional<Milliseconds> remaining)
 {
     // The query was sent before the instance was presumed cold, so the answer is out of date.
     if (askedAt < presumedAt)
@@ -76,10 +76,10 @@
 
 Timestamp ColdStart::until() const
 {
-    if (profile.longest.count() <= 0)
+    if (profile.coldPeriod.count() <= 0)
         return {};
 
-    auto latest = presumed ? presumedAt + profile.longest : answeredUntil;
+    auto latest = presumed ? presumedAt + profile.coldPeriod : answeredUntil;
 
     // An entry that is older than the answer is out of date.
     if (presumed || listedAt > answeredAt)
--- a/src/mesh/cold_start.h
+++ b/src/mesh/cold_start.h
@@ -19,7 +19,7 @@
 /** The configured cold start behaviour of a service's instances. */
 struct ColdProfile
 {
-    Milliseconds longest{};     /**< How long an instance stays cold; 0 if it never is. */
+    Milliseconds coldPeriod{};  /**< How long an instance stays cold; 0 if it never is. */
     double startsPerSecond = 0; /**< Request rate that a cold instance sustains. */
 
     bool operator== (const ColdProfile&) const = default;
@@ -28,12 +28,12 @@
 /** The load above its sustained rate that a cold instance can get in a second before it fails. */
 struct ColdBounds
 {
-    double over = 1;  /**< Multiple of the sustained rate. */
-    double slack = 0; /**< Number of requests added to that. */
+    double overloadFactor = 1; /**< Multiple of the sustained rate. */
+    double slack = 0;          /**< Number of requests added to that. */
 };
 
 /** The maximum number of requests started at a cold instance within a second; 0 if unlimited. */
-int mostColdStarts (const ColdProfile& profile, const ColdBounds& bounds);
+int maxColdStarts (const ColdProfile& profile, const ColdBounds& bounds);
 
 /** The maximum number of those within a quarter of a second; 0 if unlimited. New connections open
     one after the other, so if many requests start at once, some of them arrive late, within the
@@ -41,19 +41,19 @@
     connection per ms, 42 requests arrive in a second if 26 may start at once, but 26 if 7 may start
     in a quarter of a second.
 */
-int mostColdStartsInQuarter (const ColdProfile& profile, const ColdBounds& bounds);
+int maxColdStartsPerQuarterSecond (const ColdProfile& profile, const ColdBounds& bounds);
 
 /** The number of those that a node which has just started must assume to be used up. Its
     predecessor may have started the maximum within the same second, and both together must stay
     within the bounds.
 */
-int unknownColdStarts (const ColdProfile& profile, const ColdBounds& bounds);
+int assumedColdStarts (const ColdProfile& profile, const ColdBounds& bounds);
 
 /** Marks an entry whose remaining cold time is unreadable; the configured time is used instead. */
 inline constexpr Milliseconds unreadableColdTime{ -1 };
 
 /** The longest remaining cold time that is accepted from an instance. */
-inline constexpr Milliseconds longestColdTime{ 3'600'000 };
+inline constexpr Milliseconds maxColdTime{ 3'600'000 };
 
 /** Not thread-safe. */
 class ColdStart
@@ -68,12 +68,12 @@
         @param learnedAt  when this node learned of the entry
         @param remaining  the remaining cold time that the entry states
     */
-    void listed (Timestamp learnedAt, Milliseconds remaining);
+    void recordEntry (Timestamp learnedAt, Milliseconds remaining);
 
     /** Records the instance's own answer.
         @param remaining  the remaining cold time, or nothing if the answer doesn't state it
     */
-    void answered (Timestamp now, std::optional<Milliseconds> remaining);
+    void recordAnswer (Timestamp now, std::optional<Milliseconds> remaining);
 
     /** The time until which the instance counts as cold; in the past if the instance is warm. */
     Timestamp until() const;
@@ -82,7 +82,7 @@
 
     /** @returns true if the instance should be asked whether it is cold */
     bool wantsAnswer (Timestamp now) const;
-    void asked (Timestamp now) { askedAt = now; }
+    void recordQuery (Timestamp now) { askedAt = now; }
 
 private:
     static constexpr Milliseconds askInterval{ 250 };
--- a/src/mesh/crash_ledger.cc
+++ b/src/mesh/crash_ledger.cc
@@ -24,12 +24,12 @@
 {
     const int count = unclearedCrashes (suspect);
 
-    if (limits.most == 0 || count < limits.most)
+    if (limits.crashesUntilHold == 0 || count < limits.crashesUntilHold)
         return {};
 
-    auto time = std::min (limits.hold, maxHold);
+    auto time = std::min (limits.firstHold, maxHold);
 
-    for (int crash = limits.most; crash < count; ++crash)
+    for (int crash = limits.crashesUntilHold; crash < count; ++crash)
         time = std::min (time * holdGrowthFactor, maxHold);
 
     return time;
@@ -40,7 +40,7 @@
     return now - suspect.lastCrashAt < holdTime (suspect);
 }
 
-bool CrashLedger::knowsHead (std::uint64_t head) const
+bool CrashLedger::hasSuspectWithHead (std::uint64_t head) const
 {
     const auto found = suspects.lower_bound ({ head, 0 });
     return found != suspects.end() && found->first.head == head;
@@ -126,14 +126,15 @@
     return { item.first, item.second.crashes, std::max (age, Milliseconds (0)) };
 }
 
-std::vector<SuspectRecord> CrashLedger::worthTelling (Timestamp now,
-                                                      std::size_t maxRecordCount) const
+std::vector<SuspectRecord> CrashLedger::recordsToShare (Timestamp now,
+                                                        std::size_t maxRecordCount) const
 {
     std::vector<SuspectRecord> records;
 
     // Cleared crashes count here as well, so that the clearing also reaches every node.
     for (const auto& item : suspects)
-        if (limits.most > 0 && item.second.crashes.size() >= static_cast<std::size_t> (limits.most))
+        if (limits.crashesUntilHold > 0 &&
+            item.second.crashes.size() >= static_cast<std::size_t> (limits.crashesUntilHold))
             records.push_back (toRecord (now, item));
 
     std::sort (records.begin(), records.end(),
@@ -147,7 +148,7 @@
     std::erase_if (suspects,
                    [&] (const auto& item)
                    {
-                       const auto hold = std::max (holdTime (item.second), limits.hold);
+                       const auto hold = std::max (holdTime (item.second), limits.firstHold);
                        return now - item.second.lastCrashAt > retentionInHolds * hold;
                    });
 }
--- a/src/mesh/crash_ledger.h
+++ b/src/mesh/crash_ledger.h
@@ -27,13 +27,13 @@
         requests that merely ran in a single crash are never held, and a crashing request that is
         repeated still costs only a few instances.
     */
-    int most = 2;
+    int crashesUntilHold = 2;
 
     /** Length of the first hold. The request may be tried again afterwards, because it may have
         run in the crashes by chance. Each further crash makes the hold holdGrowthFactor times as
         long.
     */
-    Milliseconds hold{ 60'000 };
+    Milliseconds firstHold{ 60'000 };
 };
 
 /** One crash that a request ran in. */
@@ -64,8 +64,8 @@
 {
     RequestDigest request;
     int crashes = 0;
-    Milliseconds age{};  /**< Time since the last crash. */
-    Milliseconds left{}; /**< Time until the request may be tried again. */
+    Milliseconds age{};       /**< Time since the last crash. */
+    Milliseconds remaining{}; /**< Time until the request may be tried again. */
 };
 
 /** Not thread-safe. */
@@ -96,7 +96,7 @@
     std::size_t size() const { return suspects.size(); }
 
     /** Returns whether any suspect has this RequestDigest::head. */
-    bool knowsHead (std::uint64_t head) const;
+    bool hasSuspectWithHead (std::uint64_t head) const;
 
     /** Adds the crashes of a record, received from another node or made at this one. */
     SuspectChange merge (Timestamp now, const SuspectRecord& record);
@@ -110,7 +110,7 @@
     std::optional<Hold> holdOf (Timestamp now, const RequestDigest& request) const;
 
     /** Returns the suspects that every node should know, those with the latest crash first. */
-    std::vector<SuspectRecord> worthTelling (Timestamp now, std::size_t maxRecordCount) const;
+    std::vector<SuspectRecord> recordsToShare (Timestamp now, std::size_t maxRecordCount) const;
 
     /** Removes suspects whose last crash is too long ago. */
     void advance (Timestamp now);
--- a/src/mesh/crash_message.cc
+++ b/src/mesh/crash_message.cc
@@ -37,19 +37,20 @@
 }
 
 template <typename Archive>
-void serialize (Archive& archive, SuspectNews& update)
+void serialize (Archive& archive, SuspectUpdate& update)
 {
-    update.records.resize (archiveCount (archive, update.records.size(), SuspectNews::mostRecords));
+    update.records.resize (
+        archiveCount (archive, update.records.size(), SuspectUpdate::maxRecords));
 
     for (auto& record : update.records)
         archive (record);
 }
 
-std::string encode (const SuspectNews& update) { return encodeDatagram (messageMark, update); }
+std::string encode (const SuspectUpdate& update) { return encodeDatagram (messageMark, update); }
 
-std::optional<SuspectNews> decodeSuspectNews (std::string_view bytes)
+std::optional<SuspectUpdate> decodeSuspectUpdate (std::string_view bytes)
 {
-    auto update = decodeDatagram<SuspectNews> (messageMark, bytes);
+    auto update = decodeDatagram<SuspectUpdate> (messageMark, bytes);
 
     if (! update)
         return std::nullopt;
--- a/src/mesh/crash_message.h
+++ b/src/mesh/crash_message.h
@@ -15,19 +15,19 @@
 {
 
 /** Suspects that one node reports to another. */
-struct SuspectNews
+struct SuspectUpdate
 {
     /** Maximum number of records in one datagram: some 600 bytes with two crashes each. */
-    static constexpr std::size_t mostRecords = 15;
+    static constexpr std::size_t maxRecords = 15;
 
     std::vector<SuspectRecord> records;
 };
 
-std::string encode (const SuspectNews& update);
+std::string encode (const SuspectUpdate& update);
 
 /** @returns nothing when the datagram isn't a complete message of this kind or holds a value out of
     range
 */
-std::optional<SuspectNews> decodeSuspectNews (std::string_view bytes);
+std::optional<SuspectUpdate> decodeSuspectUpdate (std::string_view bytes);
 
 } // namespace copperlead::mesh
--- a/src/mesh/crash_watch.cc
+++ b/src/mesh/crash_watch.cc
@@ -7,12 +7,12 @@
 namespace copperlead::mesh
 {
 
-void CrashWatch::unanswered (Timestamp now, Timestamp startedAt, const RequestDigest& request)
+void CrashWatch::recordLostAnswer (Timestamp now, Timestamp startedAt, const RequestDigest& request)
 {
     add ({ request, startedAt, now, false });
 }
 
-void CrashWatch::brokenOff (Timestamp now, Timestamp startedAt, const RequestDigest& request)
+void CrashWatch::recordAbortedRun (Timestamp now, Timestamp startedAt, const RequestDigest& request)
 {
     add ({ request, startedAt, now, true });
 }
@@ -25,7 +25,7 @@
         runs.push_back (run);
 }
 
-void CrashWatch::answered (Timestamp now, Timestamp sentAt)
+void CrashWatch::recordAnswer (Timestamp now, Timestamp sentAt)
 {
     const auto aliveAt = std::max<Timestamp> (sentAt, now - maxHandlingDelay);
     std::erase_if (runs, [&] (const auto& run) { return run.endedAt <= aliveAt; });
@@ -35,13 +35,13 @@
         forgetCrash();
 }
 
-void CrashWatch::gone (Timestamp now) { beginCrash (now, false); }
+void CrashWatch::instanceGone (Timestamp now) { beginCrash (now, false); }
 
-void CrashWatch::replaced (Timestamp now) { beginCrash (now, true); }
+void CrashWatch::instanceReplaced (Timestamp now) { beginCrash (now, true); }
 
-void CrashWatch::questionCut (Timestamp now, Timestamp oldestRun)
+void CrashWatch::recordFailedProbe (Timestamp now, Timestamp oldestRun)
 {
-    if (! wondering() || oldestRun < runs.front().endedAt)
+    if (! hasUnexplainedRuns() || oldestRun < runs.front().endedAt)
         return;
 
     if (++failedProbes >= failedProbesUntilGone)
@@ -59,7 +59,7 @@
     wasDetectedLate = isDetectedLate;
 }
 
-void CrashWatch::restarted (Timestamp now)
+void CrashWatch::instanceRestarted (Timestamp now)
 {
     runs.clear();
     forgetCrash();
--- a/src/mesh/crash_watch.h
+++ b/src/mesh/crash_watch.h
@@ -54,25 +54,25 @@
     }
 
     /** Records a run that ended without an answer of the instance. */
-    void unanswered (Timestamp now, Timestamp startedAt, const RequestDigest& request);
+    void recordLostAnswer (Timestamp now, Timestamp startedAt, const RequestDigest& request);
 
     /** Records a run that was aborted at the instance. */
-    void brokenOff (Timestamp now, Timestamp startedAt, const RequestDigest& request);
+    void recordAbortedRun (Timestamp now, Timestamp startedAt, const RequestDigest& request);
 
     /** Records that the instance has now answered a request that was sent to it at the given time.
         Runs that ended before that time, or more than maxHandlingDelay ago, weren't ended by a
         crash. If the request was sent after a crash was detected, that crash is over; it must have
         been reported before this call.
     */
-    void answered (Timestamp now, Timestamp sentAt);
+    void recordAnswer (Timestamp now, Timestamp sentAt);
 
     /** Records that nothing listens at the instance's address any longer. */
-    void gone (Timestamp now);
+    void instanceGone (Timestamp now);
 
     /** Records that another incarnation has the address. The time when the former one ended is
         unknown.
     */
-    void replaced (Timestamp now);
+    void instanceReplaced (Timestamp now);
 
     /** Records that a health probe was accepted by the instance's port and ended without an answer.
         Nothing else shows that an instance is gone if its port belongs to another program or still
@@ -80,15 +80,15 @@
         @param oldestRun  start of the oldest run in progress; if it began before the first
                           unanswered run ended, the instance is still alive
     */
-    void questionCut (Timestamp now, Timestamp oldestRun);
+    void recordFailedProbe (Timestamp now, Timestamp oldestRun);
 
     /** Starts a new incarnation: only runs that start from now on belong to it. A crash of the
         former one must have been reported before this call.
     */
-    void restarted (Timestamp now);
+    void instanceRestarted (Timestamp now);
 
     /** Returns whether there are unanswered runs and it isn't known yet if the instance crashed. */
-    bool wondering() const { return crash == 0 && ! runs.empty(); }
+    bool hasUnexplainedRuns() const { return crash == 0 && ! runs.empty(); }
 
     /** Returns the part of a crash that hasn't been reported yet. A further report of the same
         crash holds the requests that became known after the previous one.
--- a/src/mesh/credential_check.cc
+++ b/src/mesh/credential_check.cc
@@ -20,15 +20,19 @@
         return {};
 
     const auto confirmedWithin = [&] (Milliseconds age)
-    { return facts.wordAgeMs && *facts.wordAgeMs <= static_cast<double> (age.count()); };
+    {
+        return facts.confirmationAgeMs &&
+               *facts.confirmationAgeMs <= static_cast<double> (age.count());
+    };
 
     if (facts.credential.empty())
     {
         if (facts.route.isPublic || facts.fromInstance)
             return {};
 
-        return { confirmedWithin (settings.freshWord) ? CredentialVerdict::missing
-                                                      : CredentialVerdict::wordTooOld,
+        return { confirmedWithin (settings.maxConfirmationAge)
+                     ? CredentialVerdict::missing
+                     : CredentialVerdict::configurationMayBeStale,
                  nullptr };
     }
 
@@ -39,13 +43,14 @@
         if (facts.route.isPublic)
             return {};
 
-        return { confirmedWithin (settings.freshWord) ? CredentialVerdict::unknownCredential
-                                                      : CredentialVerdict::wordTooOld,
+        return { confirmedWithin (settings.maxConfirmationAge)
+                     ? CredentialVerdict::unknownCredential
+                     : CredentialVerdict::configurationMayBeStale,
                  nullptr };
     }
 
     if (settings.failClosed && ! confirmedWithin (settings.revokeTime))
-        return { CredentialVerdict::wordTooOld, tenant };
+        return { CredentialVerdict::configurationMayBeStale, tenant };
 
     return { CredentialVerdict::accepted, tenant };
 }
--- a/src/mesh/credential_check.h
+++ b/src/mesh/credential_check.h
@@ -14,9 +14,9 @@
 enum class CredentialVerdict : std::uint8_t
 {
     accepted,
-    missing,           /**< The request has no key and its route isn't public. */
-    unknownCredential, /**< No tenant of the up-to-date configuration has the key. */
-    wordTooOld         /**< The configuration may be stale: the key may be new or revoked. */
+    missing,                /**< The request has no key and its route isn't public. */
+    unknownCredential,      /**< No tenant of the up-to-date configuration has the key. */
+    configurationMayBeStale /**< The configuration may be stale: the key may be new or revoked. */
 };
 
 inline constexpr std::string_view credentialVerdictNames[] = {
@@ -28,7 +28,7 @@
     /** Maximum age of the source's last confirmation of the configuration for which an unknown key
         or route is known not to exist. After that it may have been added in the meantime.
     */
-    Milliseconds freshWord{ 2500 };
+    Milliseconds maxConfirmationAge{ 2500 };
 
     /** Maximum age of the confirmation for which a known key is taken to be unrevoked. */
     Milliseconds revokeTime{ 5000 };
@@ -44,7 +44,7 @@
     bool fromInstance = false;   /**< Whether the node's local instance sent it. */
 
     /** Time since the source last confirmed that the configuration is the newest. */
-    std::optional<double> wordAgeMs{};
+    std::optional<double> confirmationAgeMs{};
 };
 
 struct CredentialResult
--- a/src/mesh/hop_header.cc
+++ b/src/mesh/hop_header.cc
@@ -177,7 +177,7 @@
     writer.addMilliseconds ("run", report.runMs);
     writer.addMilliseconds ("took", report.tookMs);
     writer.addMilliseconds ("waited", report.waitedMs);
-    writer.addMilliseconds ("body", report.bodyMs);
+    writer.addMilliseconds ("body", report.bodyTransferMs);
     writer.add ("version", static_cast<std::int64_t> (report.configurationVersion));
     return writer.take();
 }
@@ -216,7 +216,7 @@
     report.runMs = static_cast<double> (reader.integer ("run"));
     report.tookMs = static_cast<double> (reader.integer ("took"));
     report.waitedMs = static_cast<double> (reader.integer ("waited"));
-    report.bodyMs = static_cast<double> (reader.integer ("body"));
+    report.bodyTransferMs = static_cast<double> (reader.integer ("body"));
     report.configurationVersion = static_cast<std::uint64_t> (reader.integer ("version"));
 
     if (! reader.isValid() || outcome < 0 || outcome >= std::ssize (hopOutcomeNames) || cause < 0 ||
--- a/src/mesh/hop_header.h
+++ b/src/mesh/hop_header.h
@@ -77,7 +77,7 @@
 };
 
 /** Returns whether a request was refused for lack of capacity. */
-constexpr bool isAboutLoad (HopCause cause)
+constexpr bool isOverload (HopCause cause)
 {
     return cause == HopCause::queueFull || cause == HopCause::linkFull ||
            cause == HopCause::instanceCold;
@@ -88,12 +88,12 @@
 {
     HopOutcome outcome = HopOutcome::unknown;
     HopCause cause = HopCause::none;
-    std::string instanceId; /**< The instance beside the answering node. */
-    double load = 0;        /**< Number of requests running and waiting there. */
-    double runMs = 0;       /**< Usual duration of a run there. */
-    double tookMs = 0;      /**< Duration of this run at the instance. */
-    double waitedMs = 0;    /**< Time spent in the queue of the answering node. */
-    double bodyMs = 0;      /**< Time until a large body sent now would arrive over its link. */
+    std::string instanceId;    /**< The instance beside the answering node. */
+    double load = 0;           /**< Number of requests running and waiting there. */
+    double runMs = 0;          /**< Usual duration of a run there. */
+    double tookMs = 0;         /**< Duration of this run at the instance. */
+    double waitedMs = 0;       /**< Time spent in the queue of the answering node. */
+    double bodyTransferMs = 0; /**< Time until a large body sent now would arrive over its link. */
     std::uint64_t configurationVersion = 0;
 };
 
--- a/src/mesh/instance_chooser.cc
+++ b/src/mesh/instance_chooser.cc
@@ -71,14 +71,14 @@
     auto expected = run + ahead * meanRun;
 
     if (request.requestBytes >= largeBodyBytes)
-        expected += view.report.bodyMs * reportWeight (now, view);
+        expected += view.report.bodyTransferMs * reportWeight (now, view);
 
     return expected + crossingMs (instance, request);
 }
 
 double InstanceChooser::crossingMs (const Instance& instance, const ChoiceRequest& request) const
 {
-    const auto proximity = settings.locality.of (instance.zone);
+    const auto proximity = settings.locality.proximityTo (instance.zone);
 
     if (proximity == Proximity::sameZone)
         return 0;
@@ -197,8 +197,8 @@
     view.inFlightAtReport = std::min (view.inFlightAtReport, view.inFlight);
 }
 
-void InstanceChooser::answered (const std::string& id, const Route& route, double runMs,
-                                std::size_t bytes)
+void InstanceChooser::recordAnswer (const std::string& id, const Route& route, double runMs,
+                                    std::size_t bytes)
 {
     auto& history = routes[route.name];
     auto& view = views[id];
@@ -213,7 +213,7 @@
     history.answerBytes += learningRate * (static_cast<double> (bytes) - history.answerBytes);
 }
 
-void InstanceChooser::reported (Timestamp now, const std::string& id, const LoadReport& report)
+void InstanceChooser::recordReport (Timestamp now, const std::string& id, const LoadReport& report)
 {
     auto& view = views[id];
     view.report = report;
@@ -223,7 +223,7 @@
     view.inFlightAtReport = view.inFlight;
 }
 
-void InstanceChooser::shun (Timestamp now, const std::string& id, Milliseconds howLong)
+void InstanceChooser::avoidInstance (Timestamp now, const std::string& id, Milliseconds howLong)
 {
     auto& until = views[id].avoidedUntil;
     until = std::max (until, now + howLong);
@@ -237,12 +237,12 @@
 
 void InstanceChooser::resetIfRestarted (const Instance& instance)
 {
-    if (instance.born == 0)
+    if (instance.startTimeMs == 0)
         return;
 
     auto& known = startTimes[instance.id];
-    const bool hasRestarted = known != 0 && instance.born > known;
-    known = std::max (known, instance.born);
+    const bool hasRestarted = known != 0 && instance.startTimeMs > known;
+    known = std::max (known, instance.startTimeMs);
     const auto found = views.find (instance.id);
 
     if (! hasRestarted || found == views.end())
@@ -254,7 +254,7 @@
     found->second.inFlight = inFlight;
 }
 
-void InstanceChooser::forgetAllBut (const DirectorySnapshot& directory)
+void InstanceChooser::forgetUnlisted (const DirectorySnapshot& directory)
 {
     std::set<std::string> listed;
 
--- a/src/mesh/instance_chooser.h
+++ b/src/mesh/instance_chooser.h
@@ -39,9 +39,9 @@
 /** The load of a node's local instance, which the node reports with each answer. */
 struct LoadReport
 {
-    double load = 0;   /**< Number of requests that are running or queued there. */
-    double runMs = 0;  /**< Usual run time there, over all routes; 0 if unknown. */
-    double bodyMs = 0; /**< Expected time to transfer a large body over its node's link. */
+    double load = 0;           /**< Number of requests that are running or queued there. */
+    double runMs = 0;          /**< Usual run time there, over all routes; 0 if unknown. */
+    double bodyTransferMs = 0; /**< Expected time to transfer a large body over its node's link. */
 };
 
 /** The request for which an instance is chosen. */
@@ -95,11 +95,11 @@
     void ended (const std::string& id);
 
     /** Updates the run time and answer size estimates after an answer. */
-    void answered (const std::string& id, const Route& route, double runMs, std::size_t bytes);
-    void reported (Timestamp now, const std::string& id, const LoadReport& report);
+    void recordAnswer (const std::string& id, const Route& route, double runMs, std::size_t bytes);
+    void recordReport (Timestamp now, const std::string& id, const LoadReport& report);
 
     /** Excludes an instance from the choice for the given time. */
-    void shun (Timestamp now, const std::string& id, Milliseconds howLong);
+    void avoidInstance (Timestamp now, const std::string& id, Milliseconds howLong);
 
     /** Ranks an instance behind the others for the given time, or until it reports its load again.
         This is for an attempt that takes much longer than expected. Unlike shun(), it doesn't
@@ -113,7 +113,7 @@
     /** Drops the records of instances that are no longer listed and have nothing in flight, and
         resets those of listed instances that have restarted.
     */
-    void forgetAllBut (const DirectorySnapshot& directory);
+    void forgetUnlisted (const DirectorySnapshot& directory);
 
 private:
     struct View
--- a/src/mesh/instance_directory.cc
+++ b/src/mesh/instance_directory.cc
@@ -16,8 +16,8 @@
     if (position.epoch <= known.position.epoch)
         return false;
 
-    if (listed.born != known.instance.born && listed.born != 0)
-        return listed.born < known.instance.born;
+    if (listed.startTimeMs != known.instance.startTimeMs && listed.startTimeMs != 0)
+        return listed.startTimeMs < known.instance.startTimeMs;
 
     return position.revision <= known.writtenRevision;
 }
@@ -27,7 +27,8 @@
 void InstanceDirectory::keepAcrossRestore (Timestamp now, ListedInstance& entry,
                                            const Instance& listed, SourcePosition position)
 {
-    const bool isSameIncarnation = listed.born == 0 || listed.born == entry.instance.born;
+    const bool isSameIncarnation =
+        listed.startTimeMs == 0 || listed.startTimeMs == entry.instance.startTimeMs;
     entry.position = position;
     current.reset();
 
@@ -68,12 +69,12 @@
 
     // An incarnation can't start before its predecessor, so an entry with an earlier start time
     // comes from another writer or is corrupt.
-    const auto knownStart = entry.instance.born;
-    const bool startsEarlier = instance.born != 0 && instance.born < knownStart;
+    const auto knownStart = entry.instance.startTimeMs;
+    const bool startsEarlier = instance.startTimeMs != 0 && instance.startTimeMs < knownStart;
     const bool usable = ! startsEarlier && ! instance.draining;
     entry.state = usable ? InstanceState::ready : InstanceState::leaving;
     entry.instance = std::move (instance);
-    entry.instance.born = std::max (entry.instance.born, knownStart);
+    entry.instance.startTimeMs = std::max (entry.instance.startTimeMs, knownStart);
     entry.position = position;
     entry.writtenRevision = position.revision;
     entry.retainedAt.reset();
@@ -120,8 +121,8 @@
     current.reset();
 }
 
-void InstanceDirectory::removeAllBut (Timestamp now, const std::vector<std::string>& ids,
-                                      SourcePosition position, bool trusted)
+void InstanceDirectory::removeUnlisted (Timestamp now, const std::vector<std::string>& ids,
+                                        SourcePosition position, bool trusted)
 {
     const std::set<std::string> kept (ids.begin(), ids.end());
 
@@ -221,7 +222,7 @@
             if (! evacuatedZones.contains (entry.instance.zone))
             {
                 auto& listed = result->byService[entry.instance.service].emplace_back (entry);
-                listed.proximity = locality.of (entry.instance.zone);
+                listed.proximity = locality.proximityTo (entry.instance.zone);
             }
         }
 
--- a/src/mesh/instance_directory.h
+++ b/src/mesh/instance_directory.h
@@ -39,11 +39,11 @@
     SocketAddress address;
     int slots = 1;
     bool draining = false;
-    SourcePosition createdAt; /**< The source's position when the entry was created. */
-    std::uint64_t born = 0;   /**< When this incarnation started, in Unix ms; 0 if unknown. */
+    SourcePosition createdAt;      /**< The source's position when the entry was created. */
+    std::uint64_t startTimeMs = 0; /**< When this incarnation started, in Unix ms; 0 if unknown. */
 
     /** Remaining cold time as of the entry; unreadableColdTime if it couldn't be read. */
-    Milliseconds coldFor{};
+    Milliseconds coldRemaining{};
 };
 
 /** How an instance may be used. */
@@ -121,8 +121,8 @@
     void remove (Timestamp now, const std::string& id, SourcePosition position, bool trusted);
 
     /** Removes every instance that isn't in a complete listing. */
-    void removeAllBut (Timestamp now, const std::vector<std::string>& ids, SourcePosition position,
-                       bool trusted);
+    void removeUnlisted (Timestamp now, const std::vector<std::string>& ids,
+                         SourcePosition position, bool trusted);
 
     /** Notes that removals up to this position are at least partly unknown here. A reader at an
         earlier position then gets all entries from changesSince(), so that it can detect removals.
--- a/src/mesh/instance_poll.cc
+++ b/src/mesh/instance_poll.cc
@@ -51,7 +51,7 @@
         found->answered = true;
         found->reply = reply;
 
-        if (reply.decision == AdmissionDecision::refuse && ! isAboutLoad (refusalCause))
+        if (reply.decision == AdmissionDecision::refuse && ! isOverload (refusalCause))
             refusalCause = reply.cause;
     }
 
@@ -61,7 +61,7 @@
     return pending() > 0 ? PollStep::wait : decide();
 }
 
-PollStep InstancePoll::timeUp() { return decide(); }
+PollStep InstancePoll::waitExpired() { return decide(); }
 
 std::size_t InstancePoll::pending() const
 {
@@ -71,7 +71,7 @@
 
 double InstancePoll::costOf (const LoadReply& reply, double crossingMs) const
 {
-    const auto transfer = largeBody ? reply.bodyMs : 0;
+    const auto transfer = largeBody ? reply.bodyTransferMs : 0;
     const auto queueRisk =
         reply.decision == AdmissionDecision::wait ? queueRiskShare * usualRun : 0;
     const auto failures = reply.failureShare * failedRunCost * usualRun;
@@ -124,12 +124,12 @@
         return PollStep::widen;
 
     if (! (found && isInTime (best())) && std::exchange (mayWidenFar, false))
-        return PollStep::widenFar;
+        return PollStep::widenToOtherRegions;
 
     if (found)
         return PollStep::take;
 
-    return isAboutLoad (refusalCause) ? PollStep::refuse : PollStep::unheard;
+    return isOverload (refusalCause) ? PollStep::refuse : PollStep::noUsableReply;
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/instance_poll.h
+++ b/src/mesh/instance_poll.h
@@ -21,12 +21,12 @@
 
 enum class PollStep : std::uint8_t
 {
-    wait,    /**< Wait for further replies. */
-    take,    /**< Send the request to best(). */
-    widen,   /**< Ask further instances, including those in other zones. */
-    refuse,  /**< All replies refuse, some for load; refusal() is the cause. */
-    unheard, /**< There was no usable reply. */
-    widenFar /**< Also ask instances in other regions. */
+    wait,               /**< Wait for further replies. */
+    take,               /**< Send the request to best(). */
+    widen,              /**< Ask further instances, including those in other zones. */
+    refuse,             /**< All replies refuse, some for load; refusal() is the cause. */
+    noUsableReply,      /**< There was no usable reply. */
+    widenToOtherRegions /**< Also ask instances in other regions. */
 };
 
 inline constexpr std::string_view pollStepNames[] = { "wait",   "take",    "widen",
@@ -68,7 +68,7 @@
     PollStep replied (const LoadReply& reply);
 
     /** Decides without the missing replies, since the wait is over. */
-    PollStep timeUp();
+    PollStep waitExpired();
 
     const PolledInstance& best() const { return asked[bestIndex]; }
     HopCause refusal() const { return refusalCause; }
--- a/src/mesh/keeper_choice.h
+++ b/src/mesh/keeper_choice.h
@@ -24,10 +24,10 @@
                            const std::vector<std::string>& tried) const;
 
     /** Records that a node did not answer, which excludes it from the choice for a while. */
-    void silent (Timestamp now, const std::string& ip) { unansweredAt[ip] = now; }
+    void markUnresponsive (Timestamp now, const std::string& ip) { unansweredAt[ip] = now; }
 
     /** Records that a node answered, which makes it eligible again. */
-    void answered (const std::string& ip) { unansweredAt.erase (ip); }
+    void markResponsive (const std::string& ip) { unansweredAt.erase (ip); }
 
 private:
     // How long a node is excluded after it did not answer. A restarted keeper answers within about
--- a/src/mesh/load_query.cc
+++ b/src/mesh/load_query.cc
@@ -88,7 +88,7 @@
     archiveEstimate (archive, reply.expectedMs);
     archiveEstimate (archive, reply.load);
     archiveEstimate (archive, reply.runMs);
-    archiveEstimate (archive, reply.bodyMs);
+    archiveEstimate (archive, reply.bodyTransferMs);
     archiveEstimate (archive, reply.failureShare);
 }
 
@@ -117,7 +117,7 @@
     if (! reply || reply->decision > AdmissionDecision::refuse ||
         static_cast<std::size_t> (reply->cause) >= std::size (hopCauseNames) ||
         ! inRange (reply->expectedMs, maxMs) || ! inRange (reply->load, maxLoad) ||
-        ! inRange (reply->runMs, maxMs) || ! inRange (reply->bodyMs, maxMs) ||
+        ! inRange (reply->runMs, maxMs) || ! inRange (reply->bodyTransferMs, maxMs) ||
         ! inRange (reply->failureShare, 1))
         return std::nullopt;
 
--- a/src/mesh/load_query.h
+++ b/src/mesh/load_query.h
@@ -35,11 +35,11 @@
     std::string instanceId;   /**< The query's instance. */
     AdmissionDecision decision = AdmissionDecision::refuse;
     HopCause cause = HopCause::none; /**< Cause of a refusal. */
-    double expectedMs = 0;   /**< Expected time until the request ends there, with queueing. */
-    double load = 0;         /**< Number of requests that are running or queued there. */
-    double runMs = 0;        /**< Usual run time there, over all routes. */
-    double bodyMs = 0;       /**< Expected time to transfer a large body. */
-    double failureShare = 0; /**< Share of the latest runs there that failed. */
+    double expectedMs = 0;     /**< Expected time until the request ends there, with queueing. */
+    double load = 0;           /**< Number of requests that are running or queued there. */
+    double runMs = 0;          /**< Usual run time there, over all routes. */
+    double bodyTransferMs = 0; /**< Expected time to transfer a large body. */
+    double failureShare = 0;   /**< Share of the latest runs there that failed. */
 };
 
 std::string encode (const LoadQuery& query);
--- a/src/mesh/local_instance.cc
+++ b/src/mesh/local_instance.cc
@@ -19,31 +19,32 @@
 
     configured = std::move (service);
 
-    if (source == IdentitySource::spoken)
+    if (source == IdentitySource::selfReported)
         currentService = configured;
 }
 
-bool LocalInstance::takeEntry (const ListedInstance* entry)
+bool LocalInstance::updateFromEntry (const ListedInstance* entry)
 {
     if (entry == nullptr)
         return false;
 
     const auto& listed = entry->instance;
     // An id that the instance reported itself is newer than any entry that wasn't created since.
-    const bool older =
-        source == IdentitySource::spoken && listed.id != currentId && listed.createdAt <= createdAt;
+    const bool older = source == IdentitySource::selfReported && listed.id != currentId &&
+                       listed.createdAt <= createdAt;
 
     if (older)
         return false;
 
     const bool restarted =
-        listed.id == currentId && incarnationStart != 0 && listed.born > incarnationStart;
+        listed.id == currentId && incarnationStart != 0 && listed.startTimeMs > incarnationStart;
     const bool changed = listed.id != currentId || restarted;
 
     if (changed)
         isLost = false;
 
-    incarnationStart = changed ? listed.born : std::max (incarnationStart, listed.born);
+    incarnationStart =
+        changed ? listed.startTimeMs : std::max (incarnationStart, listed.startTimeMs);
 
     currentId = listed.id;
     currentService = listed.service;
@@ -54,7 +55,7 @@
     return changed;
 }
 
-bool LocalInstance::heard (const std::string& reportedId)
+bool LocalInstance::recordReportedId (const std::string& reportedId)
 {
     if (reportedId.empty() || reportedId == currentId)
         return false;
@@ -62,12 +63,12 @@
     currentId = reportedId;
     incarnationStart = 0;
     currentService = configured;
-    source = IdentitySource::spoken;
+    source = IdentitySource::selfReported;
     isLeaving = false;
     return true;
 }
 
-bool LocalInstance::failed (Timestamp now, bool refusedConnection)
+bool LocalInstance::recordFailure (Timestamp now, bool refusedConnection)
 {
     ++unansweredCalls;
 
@@ -79,7 +80,7 @@
     return true;
 }
 
-bool LocalInstance::answered (Timestamp)
+bool LocalInstance::recordAnswer (Timestamp)
 {
     unansweredCalls = 0;
     return std::exchange (isLost, false);
--- a/src/mesh/local_instance.h
+++ b/src/mesh/local_instance.h
@@ -17,8 +17,8 @@
 
 enum class IdentitySource : std::uint8_t
 {
-    entry, /**< An entry of the discovery source. */
-    spoken /**< The instance itself. */
+    entry,       /**< An entry of the discovery source. */
+    selfReported /**< The instance itself. */
 };
 
 inline constexpr std::string_view identitySourceNames[] = { "entry", "spoken" };
@@ -36,22 +36,22 @@
         @returns true if the entry is of another incarnation: it has another id, or a later start
                  time under the same id
     */
-    bool takeEntry (const ListedInstance* entry);
+    bool updateFromEntry (const ListedInstance* entry);
 
     /** Updates the identity from the id that the instance reports itself.
         @returns true if the id changed
     */
-    bool heard (const std::string& reportedId);
+    bool recordReportedId (const std::string& reportedId);
 
     /** Records a call that ended without an answer.
         @returns true if the instance now counts as lost
     */
-    bool failed (Timestamp now, bool refusedConnection);
+    bool recordFailure (Timestamp now, bool refusedConnection);
 
     /** Records an answered call.
         @returns true if the instance counted as lost before
     */
-    bool answered (Timestamp now);
+    bool recordAnswer (Timestamp now);
 
     /** @returns true if the instance should be asked for its identity */
     bool wantsProbe (Timestamp now) const;
--- a/src/mesh/locality.cc
+++ b/src/mesh/locality.cc
@@ -9,9 +9,9 @@
     : zone (std::move (ownZone))
     , regions (std::move (regionsByZone))
 {
-    hasSeveralRegions = std::any_of (regions.begin(), regions.end(),
-                                     [this] (const auto& item)
-                                     { return of (item.first) == Proximity::otherRegion; });
+    hasSeveralRegions = std::any_of (
+        regions.begin(), regions.end(),
+        [this] (const auto& item) { return proximityTo (item.first) == Proximity::otherRegion; });
 }
 
 const std::string& Locality::regionOf (const std::string& ofZone) const
@@ -21,7 +21,7 @@
     return found == regions.end() ? unknown : found->second;
 }
 
-Proximity Locality::of (const std::string& otherZone) const
+Proximity Locality::proximityTo (const std::string& otherZone) const
 {
     if (otherZone == zone)
         return Proximity::sameZone;
--- a/src/mesh/locality.h
+++ b/src/mesh/locality.h
@@ -30,7 +30,7 @@
     */
     Locality (std::string ownZone, std::map<std::string, std::string> regionsByZone);
 
-    Proximity of (const std::string& otherZone) const;
+    Proximity proximityTo (const std::string& otherZone) const;
 
     /** @returns the zone's region, or an empty string when it isn't known */
     const std::string& regionOf (const std::string& ofZone) const;
--- a/src/mesh/mesh_state.cc
+++ b/src/mesh/mesh_state.cc
@@ -10,7 +10,7 @@
     UpdateOutcome outcome;
 
     // Only the configuration can still be newer, since its version orders it across epochs.
-    if (update.at.epoch < reachedPosition.epoch)
+    if (update.position.epoch < reachedPosition.epoch)
     {
         outcome.listingIgnored = update.complete;
 
@@ -21,54 +21,54 @@
     }
 
     // A listing older than the position reached lacks later changes.
-    if (update.complete && update.at < reachedPosition)
+    if (update.complete && update.position < reachedPosition)
     {
         outcome.listingIgnored = true;
         return outcome;
     }
 
-    outcome.restored = reachedPosition.isKnown() && update.at.epoch > reachedPosition.epoch;
+    outcome.restored = reachedPosition.isKnown() && update.position.epoch > reachedPosition.epoch;
     outcome.instancesChanged = update.complete || ! update.instances.empty();
 
     // A restored source may lack the entries of running instances.
-    outcome.wentBack = takeInstances (now, update, update.trusted && ! outcome.restored);
+    outcome.staleIncarnations = takeInstances (now, update, update.trusted && ! outcome.restored);
     outcome.evacuations = takeEvacuations (now, update);
     outcome.instancesChanged = outcome.instancesChanged || ! outcome.evacuations.empty();
 
     if (update.configuration)
         outcome.configuration = takeConfiguration (std::move (*update.configuration));
 
-    reachedPosition = std::max (reachedPosition, update.at);
+    reachedPosition = std::max (reachedPosition, update.position);
     return outcome;
 }
 
 std::vector<std::string> MeshState::takeInstances (Timestamp now, MeshUpdate& update, bool trusted)
 {
-    std::vector<std::string> wentBack, listed;
+    std::vector<std::string> staleIncarnations, listed;
 
     for (auto& change : update.instances)
     {
         const auto id = change.instance.id;
 
         // A lapsed instance has no entry, but must not be removed below as if it had left.
-        if (! change.gone || ! change.trusted)
+        if (! change.removed || ! change.trusted)
             listed.push_back (id);
 
-        if (change.gone)
+        if (change.removed)
             instances.remove (now, id, change.position, change.trusted);
         else if (change.retained)
             instances.retain (now, std::move (change.instance), change.position);
         else if (! instances.put (now, std::move (change.instance), change.position))
-            wentBack.push_back (id);
+            staleIncarnations.push_back (id);
     }
 
     if (update.complete)
     {
-        instances.removeAllBut (now, listed, update.at, trusted);
-        instances.forgetRemovals (update.at);
+        instances.removeUnlisted (now, listed, update.position, trusted);
+        instances.forgetRemovals (update.position);
     }
 
-    return wentBack;
+    return staleIncarnations;
 }
 
 std::vector<EvacuationChange> MeshState::takeEvacuations (Timestamp now, const MeshUpdate& update)
@@ -78,16 +78,16 @@
 
     for (const auto& change : update.evacuations)
     {
-        if (evacuations.take (now, change))
+        if (evacuations.apply (now, change))
             changed.push_back (change);
 
-        if (! change.over)
+        if (! change.ended)
             listed.insert (change.zone);
     }
 
     if (update.complete)
     {
-        const auto removed = evacuations.removeAllBut (now, listed, update.at);
+        const auto removed = evacuations.removeUnlisted (now, listed, update.position);
         changed.insert (changed.end(), removed.begin(), removed.end());
     }
 
@@ -145,7 +145,7 @@
 {
     MeshUpdate update;
     std::vector<ListedInstance> changes;
-    update.at = reachedPosition;
+    update.position = reachedPosition;
     update.complete = ! instances.changesSince (position, changes);
 
     for (const auto& entry : changes)
--- a/src/mesh/mesh_state.h
+++ b/src/mesh/mesh_state.h
@@ -32,7 +32,7 @@
     std::optional<ConfigurationOutcome> configuration; /**< Empty if the update had none. */
 
     /** Ids of instances whose entries show an earlier start than the known one. */
-    std::vector<std::string> wentBack;
+    std::vector<std::string> staleIncarnations;
 };
 
 /** Not thread-safe. */
--- a/src/mesh/mesh_update.cc
+++ b/src/mesh/mesh_update.cc
@@ -106,7 +106,7 @@
 template <typename Archive>
 void serialize (Archive& archive, ServiceSettings& service)
 {
-    archive (service.healthPath, service.maxConnections, service.cold.longest,
+    archive (service.healthPath, service.maxConnections, service.cold.coldPeriod,
              service.cold.startsPerSecond);
 }
 
@@ -127,19 +127,19 @@
 {
     archive (instance.id, instance.service, instance.zone, instance.address.ip,
              instance.address.port, instance.slots, instance.draining, instance.createdAt,
-             instance.born, instance.coldFor);
+             instance.startTimeMs, instance.coldRemaining);
 }
 
 template <typename Archive>
 void serialize (Archive& archive, InstanceChange& change)
 {
-    archive (change.instance, change.position, change.gone, change.trusted, change.retained);
+    archive (change.instance, change.position, change.removed, change.trusted, change.retained);
 }
 
 template <typename Archive>
 void serialize (Archive& archive, EvacuationChange& change)
 {
-    archive (change.zone, change.position, change.over, change.retained);
+    archive (change.zone, change.position, change.ended, change.retained);
 }
 
 template <typename Archive>
@@ -152,7 +152,7 @@
 template <typename Archive>
 void serialize (Archive& archive, MeshUpdate& update)
 {
-    archive (update.complete, update.trusted, update.at, update.instances, update.evacuations,
+    archive (update.complete, update.trusted, update.position, update.instances, update.evacuations,
              update.configuration);
 }
 
--- a/src/mesh/mesh_update.h
+++ b/src/mesh/mesh_update.h
@@ -20,7 +20,7 @@
 {
     Instance instance; /**< Only its id is valid if it is gone. */
     SourcePosition position;
-    bool gone = false;
+    bool removed = false;
 
     /** For a removal: true if the source was healthy when the entry disappeared. */
     bool trusted = true;
@@ -46,7 +46,7 @@
 
     /** For a complete update: true if the absence of instances can be trusted. */
     bool trusted = true;
-    SourcePosition at; /**< Position of the source up to which the update is complete. */
+    SourcePosition position; /**< Position of the source up to which the update is complete. */
     std::vector<InstanceChange> instances;
     std::vector<EvacuationChange> evacuations;
     std::optional<ConfigurationChange> configuration;
--- a/src/mesh/peer_addresses.h
+++ b/src/mesh/peer_addresses.h
@@ -12,8 +12,8 @@
 /** Sorted IPs without duplicates. */
 struct PeerAddresses
 {
-    std::vector<std::string> inZone;
-    std::vector<std::string> elsewhere;
+    std::vector<std::string> sameZone;
+    std::vector<std::string> otherZones;
 };
 
 /** Lists the nodes of all listed instances.
--- a/src/mesh/quota_bounds.h
+++ b/src/mesh/quota_bounds.h
@@ -13,13 +13,13 @@
 struct QuotaBounds
 {
     Milliseconds window{ 5000 };
-    double over = 0.25; /**< Permitted excess, as a share of the quota within a window. */
-    double slack = 20;  /**< Further permitted excess in requests per window. */
+    double excessShare = 0.25; /**< Permitted excess, as a share of the quota within a window. */
+    double slack = 20;         /**< Further permitted excess in requests per window. */
 
     /** @returns the requests per second that a keeper may grant steadily. The burst is spread over
         the window, so that a node that asks steadily isn't refused what the quota allows.
     */
-    double perSecond (const Quota& quota) const
+    double sustainedRate (const Quota& quota) const
     {
         return quota.requestsPerSecond +
                quota.burst / std::chrono::duration<double> (window).count();
@@ -29,7 +29,7 @@
     double permittedExcess (const Quota& quota) const
     {
         const auto seconds = std::chrono::duration<double> (window).count();
-        return over * (quota.requestsPerSecond * seconds + quota.burst) + slack;
+        return excessShare * (quota.requestsPerSecond * seconds + quota.burst) + slack;
     }
 };
 
--- a/src/mesh/quota_keeper.cc
+++ b/src/mesh/quota_keeper.cc
@@ -46,7 +46,7 @@
     digests.clear();
 }
 
-void QuotaKeeper::heard (Timestamp now, const std::string& ip)
+void QuotaKeeper::recordContact (Timestamp now, const std::string& ip)
 {
     if (view.zoneOf (ip) != nullptr)
         heardAt[ip] = now;
@@ -65,7 +65,7 @@
     return { tenant, found->second };
 }
 
-std::vector<CandidatesDigest> QuotaKeeper::keptDigests()
+std::vector<CandidatesDigest> QuotaKeeper::digestsOfKeptTenants()
 {
     std::vector<CandidatesDigest> all;
 
@@ -75,8 +75,8 @@
     return all;
 }
 
-void QuotaKeeper::heardDigest (Timestamp now, const std::string& ip,
-                               const CandidatesDigest& received)
+void QuotaKeeper::recordDigest (Timestamp now, const std::string& ip,
+                                const CandidatesDigest& received)
 {
     const auto* zone = view.zoneOf (ip);
     const auto found = byTenant.find (received.tenant);
@@ -127,7 +127,7 @@
 
 double QuotaKeeper::rateOf (Timestamp now, const Tenant& tenant, const KeptQuota& kept) const
 {
-    return bounds.perSecond (tenant.quota) * reachableShare (now, kept);
+    return bounds.sustainedRate (tenant.quota) * reachableShare (now, kept);
 }
 
 std::string QuotaKeeper::liveKeeperAbove (Timestamp now, const Tenant& tenant, KeptQuota& kept)
@@ -181,7 +181,7 @@
     // more than the steady rate over the lease duration plus a burst. Otherwise tokens that expire
     // unused while no instance can be reached would be granted again and again in addition to new
     // ones, without limit.
-    const auto steadyTokens = bounds.perSecond (tenant.quota) *
+    const auto steadyTokens = bounds.sustainedRate (tenant.quota) *
                               std::chrono::duration<double> (quotaLeaseDuration).count();
     const auto capacity = capacityOf (tenant);
     const auto room = std::clamp (steadyTokens + capacity - kept.unexpiredSum, 0.0, capacity);
@@ -200,15 +200,15 @@
                      tenant.quota.requestsPerSecond);
 }
 
-QuotaGrant QuotaKeeper::ask (Timestamp now, const Tenant& tenant, const QuotaAsk& ask,
-                             const std::string& ip)
+QuotaGrant QuotaKeeper::handleRequest (Timestamp now, const Tenant& tenant, const QuotaRequest& ask,
+                                       const std::string& ip)
 {
     auto& kept = byTenant[tenant.name];
     QuotaGrant grant;
     grant.number = ask.number;
     ++counts.asked;
     lastAskAt = now;
-    heardDigest (now, ip, { tenant.name, ask.candidates });
+    recordDigest (now, ip, { tenant.name, ask.candidates });
     grant.keeper = liveKeeperAbove (now, tenant, kept);
 
     if (! grant.keeper.empty())
@@ -241,7 +241,7 @@
     if (grant.granted < ask.wanted)
         kept.shortageAt = now;
 
-    grant.alonePerSecond = fallbackRateOf (now, tenant, kept, ip);
+    grant.fallbackPerSecond = fallbackRateOf (now, tenant, kept, ip);
     counts.granted += grant.granted;
     counts.refused += ask.wanted - grant.granted;
     kept.report.granted += grant.granted;
@@ -260,9 +260,9 @@
     return grant;
 }
 
-std::vector<std::pair<std::string, QuotaKeeping>> QuotaKeeper::takeReports()
+std::vector<std::pair<std::string, QuotaKeeperActivity>> QuotaKeeper::takeReports()
 {
-    std::vector<std::pair<std::string, QuotaKeeping>> reports;
+    std::vector<std::pair<std::string, QuotaKeeperActivity>> reports;
 
     for (auto& [tenant, kept] : byTenant)
         if (kept.report.any())
@@ -271,7 +271,7 @@
     return reports;
 }
 
-std::vector<std::string> QuotaKeeper::pingsDue (Timestamp now)
+std::vector<std::string> QuotaKeeper::nodesToPing (Timestamp now)
 {
     std::vector<std::string> due;
     std::erase_if (byTenant,
--- a/src/mesh/quota_keeper.h
+++ b/src/mesh/quota_keeper.h
@@ -53,30 +53,30 @@
     void setView (QuotaView newView);
 
     /** Records that a datagram of a node arrived, which shows that the node can be reached. */
-    void heard (Timestamp now, const std::string& ip);
+    void recordContact (Timestamp now, const std::string& ip);
 
     /** Records a node's digest of a tenant's candidates. */
-    void heardDigest (Timestamp now, const std::string& ip, const CandidatesDigest& received);
+    void recordDigest (Timestamp now, const std::string& ip, const CandidatesDigest& received);
 
     /** @returns the digest of a tenant's candidates that this node knows. */
     CandidatesDigest digestFor (const std::string& tenant);
 
     /** @returns the digests for the tenants whose quotas this node keeps. */
-    std::vector<CandidatesDigest> keptDigests();
+    std::vector<CandidatesDigest> digestsOfKeptTenants();
 
     /** Answers a quota request.
         @param ip  IP of the asking node
     */
-    QuotaGrant ask (Timestamp now, const Tenant& tenant, const QuotaAsk& ask,
-                    const std::string& ip);
+    QuotaGrant handleRequest (Timestamp now, const Tenant& tenant, const QuotaRequest& ask,
+                              const std::string& ip);
 
     /** Discards outdated state. Must be called once per pingInterval.
         @returns the IPs of the nodes to ping now
     */
-    std::vector<std::string> pingsDue (Timestamp now);
+    std::vector<std::string> nodesToPing (Timestamp now);
 
     /** @returns whether this node has started to keep a tenant's quota since the last call. */
-    bool hasBegun() { return std::exchange (begun, false); }
+    bool takeStartedFlag() { return std::exchange (begun, false); }
 
     /** @returns whether quota requests have arrived lately, so that pings must be sent. */
     bool active (Timestamp now) const { return now - lastAskAt <= idleTimeout; }
@@ -87,7 +87,7 @@
     double reachableShare (Timestamp now, const std::string& tenant) const;
 
     /** @returns what this node did as a keeper since the last call, by tenant. */
-    std::vector<std::pair<std::string, QuotaKeeping>> takeReports();
+    std::vector<std::pair<std::string, QuotaKeeperActivity>> takeReports();
 
     const QuotaKeeperCounters& counters() const { return counts; }
 
@@ -122,7 +122,7 @@
         Timestamp askedAt{};
         Timestamp shortageAt{};      /**< When fewer tokens were last granted than asked for. */
         Timestamp standingInSince{}; /**< Start of standing in; zero if this node ranks first. */
-        QuotaKeeping report;
+        QuotaKeeperActivity report;
     };
 
     bool heardLately (Timestamp now, const std::string& ip) const;
--- a/src/mesh/quota_lease.cc
+++ b/src/mesh/quota_lease.cc
@@ -34,31 +34,31 @@
 
 void QuotaLease::countArrival (Timestamp now)
 {
-    rate = perSecond (now) + 1000 / rateTimeMs;
+    rate = arrivalRate (now) + 1000 / rateTimeMs;
     rateUpdatedAt = now;
 }
 
-double QuotaLease::perSecond (Timestamp now) const
+double QuotaLease::arrivalRate (Timestamp now) const
 {
     return rate * std::exp (-toMilliseconds (now - rateUpdatedAt) / rateTimeMs);
 }
 
-QuotaStep QuotaLease::take (Timestamp now)
+QuotaDecision QuotaLease::take (Timestamp now)
 {
     countArrival (now);
 
-    if (takeGranted (now) == QuotaStep::pass)
-        return QuotaStep::pass;
+    if (takeGranted (now) == QuotaDecision::pass)
+        return QuotaDecision::pass;
 
-    return now < refusedUntil ? QuotaStep::refuse : QuotaStep::wait;
+    return now < refusedUntil ? QuotaDecision::refuse : QuotaDecision::wait;
 }
 
-QuotaStep QuotaLease::takeGranted (Timestamp now)
+QuotaDecision QuotaLease::takeGranted (Timestamp now)
 {
     dropExpired (now);
 
     if (tokens == 0)
-        return QuotaStep::wait;
+        return QuotaDecision::wait;
 
     const auto first = held.begin();
     latestExpiry = first->first;
@@ -67,7 +67,7 @@
     if (--first->second == 0)
         held.erase (first);
 
-    return QuotaStep::pass;
+    return QuotaDecision::pass;
 }
 
 void QuotaLease::dropExpired (Timestamp now)
@@ -89,8 +89,8 @@
            static_cast<double> (std::max<std::size_t> (nodes, 1));
 }
 
-QuotaStep QuotaLease::takeAlone (Timestamp now, const Quota& quota, std::size_t nodes,
-                                 double chance)
+QuotaDecision QuotaLease::takeWithoutKeeper (Timestamp now, const Quota& quota, std::size_t nodes,
+                                             double chance)
 {
     const auto share = fallbackShare (now, quota, nodes);
 
@@ -104,7 +104,7 @@
 
     fallback->refill (now, share, std::max (share * fallbackBurstSeconds, 1.0));
     lastFallbackAt = now;
-    return fallback->take (1) == 1 ? QuotaStep::pass : QuotaStep::refuse;
+    return fallback->take (1) == 1 ? QuotaDecision::pass : QuotaDecision::refuse;
 }
 
 void QuotaLease::giveBack (Timestamp now, Timestamp expiresAt)
@@ -116,7 +116,7 @@
     ++tokens;
 }
 
-std::uint32_t QuotaLease::wanted (Timestamp now, std::size_t waiting)
+std::uint32_t QuotaLease::tokensToRequest (Timestamp now, std::size_t waiting)
 {
     dropExpired (now);
     const auto needed = static_cast<std::uint32_t> (waiting);
@@ -124,7 +124,7 @@
     if (now < refusedUntil)
         return needed;
 
-    const auto perSecondNow = perSecond (now);
+    const auto perSecondNow = arrivalRate (now);
 
     if (perSecondNow < prefetchMinPerSecond)
         return needed;
@@ -134,18 +134,18 @@
     return tokens > prefetch / 2 ? needed : needed + prefetch - tokens;
 }
 
-std::uint32_t QuotaLease::takeLapsed (Timestamp now)
+std::uint32_t QuotaLease::takeExpired (Timestamp now)
 {
     dropExpired (now);
     return std::exchange (expired, 0);
 }
 
-void QuotaLease::granted (Timestamp now, std::uint32_t count, double alonePerSecond)
+void QuotaLease::addGrant (Timestamp now, std::uint32_t count, double fallbackPerSecond)
 {
     // The next call without a keeper starts with a new bucket that holds some tokens already, so
     // that a node that loses a datagram now and then can still pass requests.
     fallback.reset();
-    fallbackRate = alonePerSecond;
+    fallbackRate = fallbackPerSecond;
     answeredAt = now;
     held[now + quotaLeaseDuration] += count;
     tokens += count;
--- a/src/mesh/quota_lease.h
+++ b/src/mesh/quota_lease.h
@@ -23,7 +23,7 @@
 namespace copperlead::mesh
 {
 
-enum class QuotaStep : std::uint8_t
+enum class QuotaDecision : std::uint8_t
 {
     pass,
     wait,  /**< The request waits for an answer from the keeper. */
@@ -37,22 +37,23 @@
     /** Decides on a new request and counts it towards the arrival rate.
         @returns pass if a token was taken for it, otherwise wait or refuse
     */
-    QuotaStep take (Timestamp now);
+    QuotaDecision take (Timestamp now);
 
     /** Takes a granted token for a request that has been waiting.
         @returns pass or wait
     */
-    QuotaStep takeGranted (Timestamp now);
+    QuotaDecision takeGranted (Timestamp now);
 
     /** Decides on a request while no keeper can be reached.
         @param nodes   number of nodes that share the quota if no keeper has assigned a share
         @param chance  random number from 0 to 1
         @returns pass or refuse
     */
-    QuotaStep takeAlone (Timestamp now, const Quota& quota, std::size_t nodes, double chance);
+    QuotaDecision takeWithoutKeeper (Timestamp now, const Quota& quota, std::size_t nodes,
+                                     double chance);
 
     /** @returns when the grant expires whose token take() or takeGranted() used last. */
-    Timestamp lapseOfLatestPass() const { return latestExpiry; }
+    Timestamp latestPassExpiry() const { return latestExpiry; }
 
     /** Returns the token of a request that was passed and did not run. Another request may use it
         until the grant expires.
@@ -63,23 +64,23 @@
     /** @param waiting  number of requests that wait for the keeper's answer
         @returns the number of tokens to ask the keeper for now
     */
-    std::uint32_t wanted (Timestamp now, std::size_t waiting);
+    std::uint32_t tokensToRequest (Timestamp now, std::size_t waiting);
 
     /** @returns the number of tokens that expired unused since the last call, to be returned to the
         keeper.
     */
-    std::uint32_t takeLapsed (Timestamp now);
+    std::uint32_t takeExpired (Timestamp now);
 
     /** Adds the tokens of a keeper's answer.
-        @param alonePerSecond  requests per second to pass on while no keeper can be reached
+        @param fallbackPerSecond  requests per second to pass on while no keeper can be reached
     */
-    void granted (Timestamp now, std::uint32_t count, double alonePerSecond);
+    void addGrant (Timestamp now, std::uint32_t count, double fallbackPerSecond);
 
     /** Refuses requests for the given time, unless tokens are left. */
-    void refused (Timestamp now, Milliseconds howLong) { refusedUntil = now + howLong; }
+    void refuseFor (Timestamp now, Milliseconds howLong) { refusedUntil = now + howLong; }
 
     /** @returns the arrival rate in requests per second, recent ones weighing most. */
-    double perSecond (Timestamp now) const;
+    double arrivalRate (Timestamp now) const;
 
 private:
     void dropExpired (Timestamp now);
--- a/src/mesh/quota_message.cc
+++ b/src/mesh/quota_message.cc
@@ -23,7 +23,7 @@
 } // namespace
 
 template <typename Archive>
-void serialize (Archive& archive, QuotaAsk& ask)
+void serialize (Archive& archive, QuotaRequest& ask)
 {
     auto perSecond = static_cast<float> (ask.quota.requestsPerSecond);
     auto burst = static_cast<float> (ask.quota.burst);
@@ -34,7 +34,8 @@
 template <typename Archive>
 void serialize (Archive& archive, QuotaGrant& grant)
 {
-    archive (grant.number, grant.granted, grant.retryAfterMs, grant.keeper, grant.alonePerSecond);
+    archive (grant.number, grant.granted, grant.retryAfterMs, grant.keeper,
+             grant.fallbackPerSecond);
 }
 
 template <typename Archive>
@@ -47,19 +48,19 @@
 void serialize (Archive& archive, QuotaPing& ping)
 {
     archive (ping.isReply);
-    ping.digests.resize (archiveCount (archive, ping.digests.size(), QuotaPing::mostDigests));
+    ping.digests.resize (archiveCount (archive, ping.digests.size(), QuotaPing::maxDigests));
 
     for (auto& item : ping.digests)
         archive (item);
 }
 
-std::string encode (const QuotaAsk& ask) { return encodeDatagram (askMark, ask); }
+std::string encode (const QuotaRequest& ask) { return encodeDatagram (askMark, ask); }
 std::string encode (const QuotaGrant& grant) { return encodeDatagram (grantMark, grant); }
 std::string encode (const QuotaPing& ping) { return encodeDatagram (pingMark, ping); }
 
-std::optional<QuotaAsk> decodeQuotaAsk (std::string_view bytes)
+std::optional<QuotaRequest> decodeQuotaRequest (std::string_view bytes)
 {
-    auto ask = decodeDatagram<QuotaAsk> (askMark, bytes);
+    auto ask = decodeDatagram<QuotaRequest> (askMark, bytes);
 
     if (! ask || ask->wanted > maxTokens || ask->returned > maxTokens || ! isInRange (ask->quota))
         return std::nullopt;
@@ -72,7 +73,7 @@
     auto grant = decodeDatagram<QuotaGrant> (grantMark, bytes);
 
     if (! grant || grant->granted > maxTokens || grant->retryAfterMs > maxRetryMs ||
-        ! (grant->alonePerSecond >= 0 && grant->alonePerSecond <= maxPerSecond))
+        ! (grant->fallbackPerSecond >= 0 && grant->fallbackPerSecond <= maxPerSecond))
         return std::nullopt;
 
     return grant;
--- a/src/mesh/quota_message.h
+++ b/src/mesh/quota_message.h
@@ -17,7 +17,7 @@
 {
 
 /** A node's request for tokens of a tenant's quota. */
-struct QuotaAsk
+struct QuotaRequest
 {
     std::uint64_t number = 0; /**< Chosen by the asking node and repeated in the answer. */
     std::string tenant;
@@ -30,16 +30,16 @@
     std::uint64_t candidates = 0; /**< Digest of the candidates that the asking node knows. */
 };
 
-/** A keeper's answer to a QuotaAsk. */
+/** A keeper's answer to a QuotaRequest. */
 struct QuotaGrant
 {
-    std::uint64_t number = 0;  /**< Number of the QuotaAsk that this answers. */
+    std::uint64_t number = 0;  /**< Number of the QuotaRequest that this answers. */
     std::uint32_t granted = 0; /**< Tokens. */
     /** Delay until tokens may be available, if too few were granted. */
     std::uint32_t retryAfterMs = 0;
     std::string keeper; /**< IP of the node to ask instead; empty if the sender is the keeper. */
     /** Requests per second to pass on while no keeper can be reached. */
-    double alonePerSecond = 0;
+    double fallbackPerSecond = 0;
 };
 
 /** Digest of the candidates that one node knows for a tenant's quota. */
@@ -60,17 +60,17 @@
     std::vector<CandidatesDigest> digests;
 
     /** Most digests that one datagram may hold. */
-    static constexpr std::size_t mostDigests = 32;
+    static constexpr std::size_t maxDigests = 32;
 };
 
-std::string encode (const QuotaAsk& ask);
+std::string encode (const QuotaRequest& ask);
 std::string encode (const QuotaGrant& grant);
 std::string encode (const QuotaPing& ping);
 
 /** @returns the message; nothing if the datagram is truncated, of another kind or
     holds a value out of range
 */
-std::optional<QuotaAsk> decodeQuotaAsk (std::string_view bytes);
+std::optional<QuotaRequest> decodeQuotaRequest (std::string_view bytes);
 std::optional<QuotaGrant> decodeQuotaGrant (std::string_view bytes);
 std::optional<QuotaPing> decodeQuotaPing (std::string_view bytes);
 
--- a/src/mesh/quota_report.h
+++ b/src/mesh/quota_report.h
@@ -13,7 +13,7 @@
 {
 
 /** How one node handled the requests of one tenant. */
-struct QuotaUse
+struct QuotaUsage
 {
     std::string keeper; /**< IP of the keeper that answered last; empty if none has answered. */
     std::uint32_t passed = 0, refused = 0;           /**< Requests decided by a keeper's answer. */
@@ -24,7 +24,7 @@
 };
 
 /** What one node did as the keeper of one tenant's quota. */
-struct QuotaKeeping
+struct QuotaKeeperActivity
 {
     std::uint32_t granted = 0, refused = 0; /**< Tenant requests. */
     std::uint32_t returned = 0;             /**< Tenant requests granted and not used. */
--- a/src/mesh/reader_beat_codec.cc
+++ b/src/mesh/reader_beat_codec.cc
@@ -12,20 +12,20 @@
 } // namespace
 
 template <typename Archive>
-void serialize (Archive& archive, ReaderBeat& heartbeat)
+void serialize (Archive& archive, ReaderHeartbeat& heartbeat)
 {
     archive (heartbeat.node, heartbeat.zone, heartbeat.rank.strength, heartbeat.rank.hash,
-             heartbeat.at, heartbeat.version, heartbeat.sound, heartbeat.reads);
+             heartbeat.position, heartbeat.version, heartbeat.healthy, heartbeat.reads);
 }
 
-std::string encode (const ReaderBeat& heartbeat)
+std::string encode (const ReaderHeartbeat& heartbeat)
 {
     return encodeDatagram (heartbeatTag, heartbeat);
 }
 
-std::optional<ReaderBeat> decodeReaderBeat (std::string_view bytes)
+std::optional<ReaderHeartbeat> decodeReaderHeartbeat (std::string_view bytes)
 {
-    return decodeDatagram<ReaderBeat> (heartbeatTag, bytes);
+    return decodeDatagram<ReaderHeartbeat> (heartbeatTag, bytes);
 }
 
 } // namespace copperlead::mesh
--- a/src/mesh/reader_beat_codec.h
+++ b/src/mesh/reader_beat_codec.h
@@ -10,9 +10,9 @@
 namespace copperlead::mesh
 {
 
-std::string encode (const ReaderBeat& heartbeat);
+std::string encode (const ReaderHeartbeat& heartbeat);
 
 /** @returns std::nullopt for malformed input */
-std::optional<ReaderBeat> decodeReaderBeat (std::string_view bytes);
+std::optional<ReaderHeartbeat> decodeReaderHeartbeat (std::string_view bytes);
 
 } // namespace copperlead::mesh
--- a/src/mesh/reader_role.cc
+++ b/src/mesh/reader_role.cc
@@ -14,7 +14,7 @@
     , random (static_cast<std::minstd_rand::result_type> (seed % std::minstd_rand::modulus))
 {
     // Listing the source for peers is cheap, so a weak machine need not wait longer than others.
-    const auto weakness = settings.mayLook ? Milliseconds (0) : weaknessDelay();
+    const auto weakness = settings.canListPeers ? Milliseconds (0) : weaknessDelay();
     drawReadDelay (settings.unlistedStartDelay + weakness, settings.unlistedStartSpread);
 }
 
@@ -41,7 +41,7 @@
 
 Milliseconds ReaderRole::weaknessDelay() const
 {
-    return settings.weakerMachineDelay * std::max (0, topStrength - rank.strength);
+    return settings.weakerMachineDelay * std::max (0, maxMachineStrength - rank.strength);
 }
 
 void ReaderRole::restartReadDelay (Timestamp now, Milliseconds minimum, Milliseconds spread)
@@ -70,7 +70,7 @@
 
 bool ReaderRole::requestPeerListing (Timestamp now)
 {
-    if (! settings.mayLook || isListed || lastUpToDateAt != Timestamp{} ||
+    if (! settings.canListPeers || isListed || lastUpToDateAt != Timestamp{} ||
         std::exchange (hasListedPeers, true))
         return false;
 
@@ -79,7 +79,7 @@
     return true;
 }
 
-Milliseconds ReaderRole::tryInterval (Timestamp now) const
+Milliseconds ReaderRole::minRetryInterval (Timestamp now) const
 {
     const auto failing = std::count_if (failingReaders.begin(), failingReaders.end(),
                                         [&] (const auto& item)
@@ -87,12 +87,12 @@
     return std::min (settings.zoneRetryInterval * failing, settings.maxRetryInterval);
 }
 
-void ReaderRole::heard (Timestamp now, const ReaderBeat& heartbeat)
+void ReaderRole::heartbeatReceived (Timestamp now, const ReaderHeartbeat& heartbeat)
 {
     if (heartbeat.node == name)
         return;
 
-    if (! heartbeat.sound)
+    if (! heartbeat.healthy)
     {
         failingReaders[heartbeat.node] = now;
 
@@ -105,12 +105,12 @@
 
     failingReaders.erase (heartbeat.node);
     readers[heartbeat.node] = { heartbeat, now };
-    readerPosition = std::max (readerPosition, heartbeat.at);
+    readerPosition = std::max (readerPosition, heartbeat.position);
     readerVersion = std::max (readerVersion, heartbeat.version);
     updateLastUpToDate (now);
 }
 
-void ReaderRole::reached (Timestamp now, SourcePosition position, std::uint64_t version)
+void ReaderRole::positionReached (Timestamp now, SourcePosition position, std::uint64_t version)
 {
     ownPosition = std::max (ownPosition, position);
     ownVersion = std::max (ownVersion, version);
@@ -121,7 +121,7 @@
     updateLastUpToDate (now);
 }
 
-void ReaderRole::sawVersion (Timestamp now, std::uint64_t version)
+void ReaderRole::recordVersion (Timestamp now, std::uint64_t version)
 {
     observedVersion = std::max (observedVersion, version);
 
@@ -135,7 +135,7 @@
                                     [&] (const auto& item)
                                     {
                                         const auto& [heartbeat, receivedAt] = item.second;
-                                        return now - receivedAt <= settings.beatInterval * 2 &&
+                                        return now - receivedAt <= settings.heartbeatInterval * 2 &&
                                                heartbeat.at <= ownPosition &&
                                                heartbeat.version <= ownVersion;
                                     });
--- a/src/mesh/reader_role.h
+++ b/src/mesh/reader_role.h
@@ -43,20 +43,20 @@
 };
 
 /** Strength of a machine whose processor and network link are both adequate. */
-inline constexpr int topStrength = 2;
+inline constexpr int maxMachineStrength = 2;
 
 /** Heartbeat that a reader sends to its zone several times per second and after each change. Each
     time it also goes to one node of another zone, in case that zone's readers can't reach the
     source.
 */
-struct ReaderBeat
+struct ReaderHeartbeat
 {
     std::string node;
     std::string zone;
     ReaderRank rank;
-    SourcePosition at;         /**< Position of the source up to which the node has read. */
+    SourcePosition position;   /**< Position of the source up to which the node has read. */
     std::uint64_t version = 0; /**< Version of the node's configuration. */
-    bool sound = false;        /**< True if the node reaches the source and continues to read. */
+    bool healthy = false;      /**< True if the node reaches the source and continues to read. */
 
     /** False if the node only offers its state and doesn't report itself as a reader. */
     bool reads = true;
@@ -64,7 +64,7 @@
 
 struct ReaderRoleSettings
 {
-    Milliseconds beatInterval{ 250 };
+    Milliseconds heartbeatInterval{ 250 };
 
     /** Time without being up to date with a healthy reader after which a node may start to read.
         Readers that are silent for this long are considered gone.
@@ -87,7 +87,7 @@
         subscription, or until one of the nodes that were listed first starts to read.
     */
     Milliseconds subscribedDelay{ 1000 }, subscribedSpread{ 500 };
-    bool mayLook = false; /**< True if the node can list the source without reading it. */
+    bool canListPeers = false; /**< True if the node can list the source without reading it. */
 
     /** Additional start delay for each step below the highest machine strength. */
     Milliseconds weakerMachineDelay{ 300 };
@@ -111,17 +111,17 @@
     ReaderRole (std::string ownName, ReaderRank ownRank, const ReaderRoleSettings& settingsToUse,
                 std::uint64_t seed);
 
-    void heard (Timestamp now, const ReaderBeat& heartbeat);
+    void heartbeatReceived (Timestamp now, const ReaderHeartbeat& heartbeat);
 
     /** Records the position and the version that this node has reached. */
-    void reached (Timestamp now, SourcePosition position, std::uint64_t version);
+    void positionReached (Timestamp now, SourcePosition position, std::uint64_t version);
 
     /** Records the configuration version that another node's answer showed. */
-    void sawVersion (Timestamp now, std::uint64_t version);
+    void recordVersion (Timestamp now, std::uint64_t version);
 
     /** @returns for how long another node has been known to run a later version; zero if none does
      */
-    Duration seenLaterFor (Timestamp now) const
+    Duration laterVersionSeenFor (Timestamp now) const
     {
         return laterVersionSince == Timestamp::max() ? Duration (0) : now - laterVersionSince;
     }
@@ -141,7 +141,7 @@
     /** Returns true once for each request to list the source again, to find peers through which to
         subscribe.
     */
-    bool takeLook() { return std::exchange (peerListingRequested, false); }
+    bool takePeerListingRequest() { return std::exchange (peerListingRequested, false); }
 
     /** Evaluates the heartbeats received.
         @param ownHealthy  true if this node reaches the source itself
@@ -151,7 +151,7 @@
 
     /** Minimum interval of this node's calls to a failing source, and of its heartbeats meanwhile.
      */
-    Milliseconds tryInterval (Timestamp now) const;
+    Milliseconds minRetryInterval (Timestamp now) const;
 
     bool reading() const { return isReading; }
 
@@ -159,12 +159,12 @@
     bool behind() const { return readerPosition > ownPosition || readerVersion > ownVersion; }
 
     /** Time at which this node was last up to date with a healthy reader. */
-    Timestamp satisfiedAt() const { return lastUpToDateAt; }
+    Timestamp lastUpToDate() const { return lastUpToDateAt; }
 
 private:
     struct ReceivedHeartbeat
     {
-        ReaderBeat heartbeat;
+        ReaderHeartbeat heartbeat;
         Timestamp receivedAt;
     };
 
--- a/src/mesh/recent_answers.cc
+++ b/src/mesh/recent_answers.cc
@@ -20,7 +20,7 @@
 {
     advance (now);
 
-    if (current.size() < mostRemembered)
+    if (current.size() < maxPerGeneration)
         current.insert (request);
 }
 
--- a/src/mesh/recent_answers.h
+++ b/src/mesh/recent_answers.h
@@ -20,7 +20,7 @@
     static constexpr Milliseconds generationTime{ 10'000 };
 
     /** Limit for one generation; further answers aren't remembered. 4,096 take about 250 KB. */
-    static constexpr std::size_t mostRemembered = 4096;
+    static constexpr std::size_t maxPerGeneration = 4096;
 
     void observe (Timestamp now, const RequestDigest& request);
     bool contains (Timestamp now, const RequestDigest& request);
--- a/src/mesh/retry_after.cc
+++ b/src/mesh/retry_after.cc
@@ -18,7 +18,7 @@
 
 Milliseconds retryAfter (HopCause cause, Duration remainingWait, double jitter)
 {
-    const bool overloaded = isAboutLoad (cause) || cause == HopCause::expired;
+    const bool overloaded = isOverload (cause) || cause == HopCause::expired;
     const auto share = overloaded
                            ? minShareInOverload + jitter * (maxShareInOverload - minShareInOverload)
                            : defaultShare;
--- a/src/mesh/retry_budget.cc
+++ b/src/mesh/retry_budget.cc
@@ -71,7 +71,7 @@
     bucket.retries += repeatShare;
 }
 
-double RetryBudget::left (Timestamp now, std::size_t nodes) const
+double RetryBudget::remaining (Timestamp now, std::size_t nodes) const
 {
     const auto newest = indexOf (now);
     double requests = 0, retries = 0;
@@ -131,13 +131,13 @@
                                 : std::max (higherRanked, expectedClientRetries (now));
 }
 
-bool RetryBudget::take (Timestamp now, std::size_t nodes, const RetryClaim& claim)
+bool RetryBudget::trySpend (Timestamp now, std::size_t nodes, const RetryClaim& claim)
 {
     const auto rank = rankOf (claim);
     auto& bucket = bucketAt (now);
     ++bucket.claims[rank];
 
-    if (left (now, nodes) < 1 + reserveFor (now, rank))
+    if (remaining (now, nodes) < 1 + reserveFor (now, rank))
         return false;
 
     bucket.retries += 1;
--- a/src/mesh/retry_budget.h
+++ b/src/mesh/retry_budget.h
@@ -81,10 +81,10 @@
     /** Spends one retry if the budget and the reserve for higher-ranked claims allow it.
         @param nodes  number of nodes that share the slack
     */
-    bool take (Timestamp now, std::size_t nodes, const RetryClaim& claim);
+    bool trySpend (Timestamp now, std::size_t nodes, const RetryClaim& claim);
 
     /** The unspent part of the budget, which may be negative. */
-    double left (Timestamp now, std::size_t nodes) const;
+    double remaining (Timestamp now, std::size_t nodes) const;
 
 private:
     static constexpr std::int64_t numWindowBuckets = 20;
--- a/src/mesh/return_share.cc
+++ b/src/mesh/return_share.cc
@@ -10,11 +10,11 @@
 
 } // namespace
 
-void ReturnShare::refused (const std::string& route) { returnsByRoute[route].add (0, 1); }
+void ReturnShare::recordRefusal (const std::string& route) { returnsByRoute[route].add (0, 1); }
 
-void ReturnShare::returned (const std::string& route) { returnsByRoute[route].add (1, 0); }
+void ReturnShare::recordRetry (const std::string& route) { returnsByRoute[route].add (1, 0); }
 
-bool ReturnShare::comesBack (const std::string& route) const
+bool ReturnShare::expectsClientRetry (const std::string& route) const
 {
     const auto found = returnsByRoute.find (route);
     const auto share = found == returnsByRoute.end() ? std::nullopt : found->second.value();
--- a/src/mesh/return_share.h
+++ b/src/mesh/return_share.h
@@ -18,13 +18,13 @@
 {
 public:
     /** Records that a first attempt on this route was refused. */
-    void refused (const std::string& route);
+    void recordRefusal (const std::string& route);
 
     /** Records that a client's retry arrived on this route. */
-    void returned (const std::string& route);
+    void recordRetry (const std::string& route);
 
     /** Whether a client of this route is expected to retry. Also true while too little is known. */
-    bool comesBack (const std::string& route) const;
+    bool expectsClientRetry (const std::string& route) const;
 
 private:
     std::unordered_map<std::string, RecentShare>
--- a/src/mesh/sleep_watch.cc
+++ b/src/mesh/sleep_watch.cc
@@ -5,7 +5,7 @@
 namespace copperlead::mesh
 {
 
-std::optional<Sleep> SleepWatch::look (Timestamp now, Duration suspendedTime, Duration interval)
+std::optional<Sleep> SleepWatch::check (Timestamp now, Duration suspendedTime, Duration interval)
 {
     const auto before = std::exchange (previousCheck, now);
     const auto suspended = suspendedTime - std::exchange (previousSuspendedTime, suspendedTime);
--- a/src/mesh/sleep_watch.h
+++ b/src/mesh/sleep_watch.h
@@ -12,8 +12,8 @@
 
 struct Sleep
 {
-    Duration asleep{};    /**< Delay of the call past the time at which it was due. */
-    Duration suspended{}; /**< Part in which the whole machine was suspended. */
+    Duration pauseDuration{}; /**< Delay of the call past the time at which it was due. */
+    Duration suspended{};     /**< Part in which the whole machine was suspended. */
 };
 
 /** Not thread-safe. */
@@ -27,7 +27,7 @@
         @param suspendedTime  total time for which the machine has been suspended since its start
         @returns the pause, if there was one
     */
-    std::optional<Sleep> look (Timestamp now, Duration suspendedTime, Duration interval);
+    std::optional<Sleep> check (Timestamp now, Duration suspendedTime, Duration interval);
 
 private:
     Timestamp previousCheck{};
--- a/src/mesh/source_follower.cc
+++ b/src/mesh/source_follower.cc
@@ -67,7 +67,7 @@
         return SourceCallCause::page;
 
     if (refreshing)
-        return SourceCallCause::look;
+        return SourceCallCause::refresh;
 
     return historyLost ? SourceCallCause::historyLost : SourceCallCause::start;
 }
@@ -118,7 +118,7 @@
     return dropped;
 }
 
-bool SourceFollower::overtaken (Timestamp now, SourcePosition position)
+bool SourceFollower::positionReceived (Timestamp now, SourcePosition position)
 {
     if (position <= reachedPosition || ! listed || paused)
         return false;
@@ -133,7 +133,7 @@
     return true;
 }
 
-bool SourceFollower::hurry (Timestamp now)
+bool SourceFollower::expediteWatch (Timestamp now)
 {
     const bool waitsForInterval = ! requestPending && ! paused && failures == 0 && now < due;
 
@@ -163,14 +163,14 @@
     return requestPending || (paused && listed) ? Timestamp::max() : due;
 }
 
-bool SourceFollower::reached (Timestamp now) const
+bool SourceFollower::isSourceReachable (Timestamp now) const
 {
     // A follower that lists again after a lost history still reaches the source.
     return (listed || historyLost) && ! paused && failures == 0 &&
            now - successAt <= settings.watchInterval + settings.watchWait + settings.answerTimeout;
 }
 
-bool SourceFollower::sound (Timestamp now) const
+bool SourceFollower::canTrustAbsence (Timestamp now) const
 {
     return failures == 0 && now >= absenceDistrustedUntil;
 }
@@ -185,7 +185,7 @@
 {
     ++failures;
     absenceDistrustedUntil = now + settings.absenceDistrustTime;
-    const auto longest = std::max (backoff (failures), tryInterval);
+    const auto longest = std::max (backoff (failures), minRetryInterval);
     std::uniform_int_distribution<std::int64_t> spread (longest.count() / 2, longest.count());
     due = now + Milliseconds (spread (random));
 }
@@ -210,9 +210,9 @@
 bool SourceFollower::matchesCallEpoch (const SourceAnswer& answer) const
 {
     if (current == SourceCall::watch)
-        return answer.at.epoch == watchStart.epoch;
+        return answer.position.epoch == watchStart.epoch;
 
-    return pages.empty() || answer.at.epoch == listingPosition.epoch;
+    return pages.empty() || answer.position.epoch == listingPosition.epoch;
 }
 
 void SourceFollower::handleRestore (Timestamp now)
@@ -236,16 +236,16 @@
     restartListing (historyLosses == 1 ? now : now + backoff (historyLosses - 1));
 }
 
-std::optional<SourceUpdate> SourceFollower::answered (Timestamp now, SourceAnswer answer)
+std::optional<SourceUpdate> SourceFollower::handleAnswer (Timestamp now, SourceAnswer answer)
 {
     requestPending = false;
     const bool isReadable = answer.reply != SourceReply::failed;
 
-    if (isReadable && answer.at.epoch > epoch)
-        beginEpoch (now, answer.at.epoch);
+    if (isReadable && answer.position.epoch > epoch)
+        beginEpoch (now, answer.position.epoch);
 
     // An answer of an earlier epoch was sent before the source was restored.
-    if (! isReadable || answer.reply == SourceReply::refused || answer.at.epoch < epoch)
+    if (! isReadable || answer.reply == SourceReply::refused || answer.position.epoch < epoch)
     {
         failed (now);
         return std::nullopt;
@@ -279,7 +279,7 @@
 {
     successAt = now;
     historyLosses = 0;
-    advanceTo (answer.at);
+    advanceTo (answer.position);
     due = std::max<Timestamp> (now, sentAt + settings.watchInterval);
 
     // An immediate watch reports to the zone that the source is reachable, even without changes.
@@ -298,14 +298,14 @@
 SourcePosition completeUpTo (const SourceAnswer& answer, bool stale)
 {
     if (! stale)
-        return answer.at;
+        return answer.position;
 
     std::uint64_t latest = 0;
 
     for (const auto& entry : answer.entries)
         latest = std::max (latest, entry.revision);
 
-    return { answer.at.epoch, std::min (latest, answer.at.revision) };
+    return { answer.position.epoch, std::min (latest, answer.position.revision) };
 }
 
 } // namespace
--- a/src/mesh/source_follower.h
+++ b/src/mesh/source_follower.h
@@ -39,7 +39,7 @@
     std::string value;
     std::uint64_t revision = 0;
     std::uint64_t createdAt = 0;
-    bool gone = false;
+    bool removed = false;
     std::string fault{}; /**< Describes why the entry can't be read; empty if it can. */
 };
 
@@ -57,7 +57,7 @@
     start,       /**< The first page of the first listing. */
     page,        /**< A further page of any listing. */
     historyLost, /**< The first page of a listing after the source has discarded its history. */
-    look,        /**< The first page of a repeated listing of a node that doesn't read. */
+    refresh,     /**< The first page of a repeated listing of a node that doesn't read. */
     takeOver,    /**< The first watch of a node that starts to read. */
     watch,       /**< A further watch. */
     retry        /**< After a call that failed or was refused. */
@@ -97,7 +97,7 @@
     SourceReply reply = SourceReply::failed;
     std::vector<SourceEntry> entries;
     bool hasMore = false;
-    SourcePosition at; /**< Position of the source; its revision is valid only with
+    SourcePosition position; /**< Position of the source; its revision is valid only with
                             SourceReply::entries. */
 };
 
@@ -106,7 +106,7 @@
 {
     bool complete = false;            /**< True for a listing: entries that it lacks are removed. */
     std::vector<SourceEntry> entries; /**< Their revisions belong to the epoch of `at`. */
-    SourcePosition at;
+    SourcePosition position;
 };
 
 struct FollowerSettings
@@ -155,19 +155,19 @@
     Timestamp nextDue() const;
 
     /** Handles the answer to the pending request. @returns the changes in it, if any */
-    std::optional<SourceUpdate> answered (Timestamp now, SourceAnswer answer);
+    std::optional<SourceUpdate> handleAnswer (Timestamp now, SourceAnswer answer);
 
     /** Makes the next watch due at once, because another node runs a later version. Neither the
         pending watch nor the interval between watches is awaited any longer.
         @returns true if the pending request, if any, is to be dropped and poll() called again
     */
-    bool hurry (Timestamp now);
+    bool expediteWatch (Timestamp now);
 
     /** Records a position that was reached by other means while this node reads. The changes that a
         watch from an earlier position would return are known, and may take long over a slow link.
         @returns true if the pending watch is to be dropped and poll() called again
     */
-    bool overtaken (Timestamp now, SourcePosition position);
+    bool positionReceived (Timestamp now, SourcePosition position);
 
     /** Stops watching until resume(). The first listing continues, unless `position` was reached by
         other means.
@@ -185,18 +185,18 @@
     void lookAgain (Timestamp now);
 
     /** Sets the minimum interval of calls to a failing source, which other nodes call as well. */
-    void setTryInterval (Milliseconds interval) { tryInterval = interval; }
+    void setMinRetryInterval (Milliseconds interval) { minRetryInterval = interval; }
 
     /** True if no call has failed and no restore was seen recently, so that absent entries can be
         considered removed.
     */
-    bool sound (Timestamp now) const;
+    bool canTrustAbsence (Timestamp now) const;
 
     /** True while the source answers: no call is failing, and the last answer is no older than a
         watch may take. Also true while a listing replaces a lost history: other nodes that start to
         read instead would each have to list the source as well.
     */
-    bool reached (Timestamp now) const;
+    bool isSourceReachable (Timestamp now) const;
 
     bool hasListed() const { return listed; }
     bool failing() const { return failures > 0; }
@@ -243,7 +243,7 @@
     bool stale = false; /**< True if the current listing may be stale. */
     bool historyLost = false;
     bool refreshing = false; /**< True if the current listing was requested by lookAgain(). */
-    Milliseconds tryInterval{};
+    Milliseconds minRetryInterval{};
     std::vector<SourceEntry> pages;
     int failures = 0;
     int historyLosses = 0; /**< Number since a watch was last answered. */
--- a/src/mesh/start_window.cc
+++ b/src/mesh/start_window.cc
@@ -5,7 +5,7 @@
 namespace copperlead::mesh
 {
 
-void StartWindow::setMost (int newMost)
+void StartWindow::setLimit (int newMost)
 {
     maxStarts = newMost;
     dropOldest();
@@ -17,13 +17,13 @@
         starts.pop_front();
 }
 
-void StartWindow::started (Timestamp now)
+void StartWindow::recordStart (Timestamp now)
 {
     starts.push_back (now);
     dropOldest();
 }
 
-void StartWindow::sent (Timestamp startedAt, Timestamp now)
+void StartWindow::postponeStart (Timestamp startedAt, Timestamp now)
 {
     const auto found = std::find (starts.begin(), starts.end(), startedAt);
 
@@ -34,16 +34,16 @@
     starts.push_back (now);
 }
 
-void StartWindow::assumeStarted (Timestamp when, int count)
+void StartWindow::assumeStarts (Timestamp when, int count)
 {
     const auto before = std::lower_bound (starts.begin(), starts.end(), when);
     starts.insert (before, static_cast<std::size_t> (std::min (count, maxStarts)), when);
     dropOldest();
 }
 
-Timestamp StartWindow::earliest (Timestamp now, std::size_t before) const
+Timestamp StartWindow::earliestStart (Timestamp now, std::size_t before) const
 {
-    if (! binds (now))
+    if (! isEnforced (now))
         return now;
 
     auto allowedAt = earliestInWindow (windowLength, maxStarts, now, before);
--- a/src/mesh/start_window.h
+++ b/src/mesh/start_window.h
@@ -17,35 +17,35 @@
 {
 public:
     /** Sets the maximum number of starts per window while the limit is enforced; 0 disables it. */
-    void setMost (int newMost);
-    int most() const { return maxStarts; }
+    void setLimit (int newMost);
+    int limit() const { return maxStarts; }
 
     /** Sets the maximum number of starts per quarter window; 0 means that only the limit of the
         whole window applies.
     */
-    void setMostInQuarter (int newMost) { maxStartsInQuarter = newMost; }
+    void setQuarterLimit (int newMost) { maxStartsInQuarter = newMost; }
 
     /** Enforces the limit until `newEnd`. Starts before this call count as well. */
-    void bindUntil (Timestamp newEnd) { end = newEnd; }
+    void enforceUntil (Timestamp newEnd) { end = newEnd; }
 
-    bool binds (Timestamp now) const { return maxStarts > 0 && now < end; }
+    bool isEnforced (Timestamp now) const { return maxStarts > 0 && now < end; }
 
     /** Records the start of a request, which is assumed to be sent immediately. */
-    void started (Timestamp now);
+    void recordStart (Timestamp now);
 
     /** Moves the start at `startedAt` to `now`, since the request was sent only after its
         connection had been opened.
     */
-    void sent (Timestamp startedAt, Timestamp now);
+    void postponeStart (Timestamp startedAt, Timestamp now);
 
     /** Records `count` starts at `when`, as an estimate when the actual number is unknown. */
-    void assumeStarted (Timestamp when, int count);
+    void assumeStarts (Timestamp when, int count);
 
     /** Removes all recorded starts, for use when they belong to another instance. */
-    void forget() { starts.clear(); }
+    void clear() { starts.clear(); }
 
     /** The earliest time at which a request may start that has `before` requests ahead of it. */
-    Timestamp earliest (Timestamp now, std::size_t before) const;
+    Timestamp earliestStart (Timestamp now, std::size_t before) const;
 
 private:
     /** Limits the recorded starts to the latest `maxStarts`. */
--- a/src/mesh/stop_plan.cc
+++ b/src/mesh/stop_plan.cc
@@ -13,7 +13,7 @@
 {
     StopStep step;
     step.stopListening = since (now) >= drainNoticeTime;
-    step.stopTaking = now >= endsAt - lastRequestTime;
+    step.stopAccepting = now >= endsAt - lastRequestTime;
     step.end = now >= endsAt || (step.stopListening && idle);
     return step;
 }
--- a/src/mesh/stop_plan.h
+++ b/src/mesh/stop_plan.h
@@ -12,7 +12,7 @@
 struct StopStep
 {
     bool stopListening = false; /**< The platform no longer sends new clients here. */
-    bool stopTaking = false;    /**< A request that arrives now could not finish in time. */
+    bool stopAccepting = false; /**< A request that arrives now could not finish in time. */
     bool end = false;           /**< No work or no time is left. */
 };
 
@@ -27,7 +27,7 @@
     StopStep at (Timestamp now, bool idle) const;
 
     /** The time by which the last answers must have been sent off. */
-    Timestamp answersBy() const { return endsAt - answerMargin; }
+    Timestamp answerDeadline() const { return endsAt - answerMargin; }
 
     Duration since (Timestamp now) const { return now - start; }
 
--- a/src/mesh/subscription.cc
+++ b/src/mesh/subscription.cc
@@ -31,7 +31,8 @@
     return decodeDatagram<Subscription> (subscriptionTag, bytes);
 }
 
-SubscriptionSendings Subscriptions::due (Timestamp now, const std::vector<std::string>& zonePeers)
+OutgoingSubscriptions Subscriptions::takeDueRequests (Timestamp now,
+                                                      const std::vector<std::string>& zonePeers)
 {
     const bool readerKnown = knowsReader (now);
 
@@ -46,9 +47,9 @@
         return { { readerIp, {} } };
 
     std::vector<std::string> recipients;
-    std::sample (zonePeers.begin(), zonePeers.end(), std::back_inserter (recipients), askedAtOnce,
-                 random);
-    SubscriptionSendings requests;
+    std::sample (zonePeers.begin(), zonePeers.end(), std::back_inserter (recipients),
+                 peersPerAttempt, random);
+    OutgoingSubscriptions requests;
 
     for (auto& ip : recipients)
         requests.push_back ({ std::move (ip), {} });
@@ -56,25 +57,26 @@
     return requests;
 }
 
-SubscriptionSendings Subscriptions::heardReader (Timestamp now, const std::string& ip,
-                                                 bool isReading)
+OutgoingSubscriptions Subscriptions::onReaderHeartbeat (Timestamp now, const std::string& ip,
+                                                        bool isReading)
 {
     readerIp = ip;
     heardAt = now;
-    return isReading ? SubscriptionSendings() : forwardToReader (now);
+    return isReading ? OutgoingSubscriptions() : forwardToReader (now);
 }
 
-SubscriptionSendings Subscriptions::take (Timestamp now, const std::string& ip, bool isReading)
+OutgoingSubscriptions Subscriptions::addSubscriber (Timestamp now, const std::string& ip,
+                                                    bool isReading)
 {
-    if (expiryByIp.size() < most || expiryByIp.contains (ip))
+    if (expiryByIp.size() < maxSubscribers || expiryByIp.contains (ip))
         expiryByIp[ip] = now + lifetime;
 
-    return isReading || ! knowsReader (now) ? SubscriptionSendings() : forwardToReader (now);
+    return isReading || ! knowsReader (now) ? OutgoingSubscriptions() : forwardToReader (now);
 }
 
-SubscriptionSendings Subscriptions::forwardToReader (Timestamp now)
+OutgoingSubscriptions Subscriptions::forwardToReader (Timestamp now)
 {
-    SubscriptionSendings requests;
+    OutgoingSubscriptions requests;
 
     for (const auto& ip : subscribers (now))
         if (ip != readerIp)
--- a/src/mesh/subscription.h
+++ b/src/mesh/subscription.h
@@ -38,15 +38,15 @@
 std::optional<Subscription> decodeSubscription (std::string_view bytes);
 
 /** A subscription request that is to be sent. */
-struct SubscriptionSending
+struct OutgoingSubscription
 {
     std::string to;         /**< IP of the recipient. */
     std::string subscriber; /**< IP of the subscriber; empty means this node. */
 
-    bool operator== (const SubscriptionSending&) const = default;
+    bool operator== (const OutgoingSubscription&) const = default;
 };
 
-using SubscriptionSendings = std::vector<SubscriptionSending>;
+using OutgoingSubscriptions = std::vector<OutgoingSubscription>;
 
 /** A node's own subscription and the subscriptions that it has received. Not thread-safe. */
 class Subscriptions
@@ -55,12 +55,12 @@
     /** Number of nodes to contact per attempt while the reader is unknown. Some of them may not
         know the reader either, or may not receive the datagram.
     */
-    static constexpr std::size_t askedAtOnce = 3;
+    static constexpr std::size_t peersPerAttempt = 3;
 
     /** Time after the last heartbeat at which a node no longer counts as the reader. Heartbeats are
         sent four times a second.
     */
-    static constexpr Milliseconds readerMemory{ 600 };
+    static constexpr Milliseconds readerTimeout{ 600 };
 
     static constexpr Milliseconds retryInterval{ 500 };    /**< While no reader is known. */
     static constexpr Milliseconds renewalInterval{ 2000 }; /**< While a reader is known. */
@@ -69,7 +69,7 @@
     /** Maximum number of subscribers, above the number of nodes that a zone may have. Further ones
         are rejected.
     */
-    static constexpr std::size_t most = 4096;
+    static constexpr std::size_t maxSubscribers = 4096;
 
     explicit Subscriptions (std::uint64_t seed)
         : random (static_cast<std::minstd_rand::result_type> (seed % std::minstd_rand::modulus))
@@ -79,27 +79,28 @@
     /** For a node that isn't listed, returns the requests to send for itself now, if any are due.
         They are assumed to be sent.
     */
-    SubscriptionSendings due (Timestamp now, const std::vector<std::string>& zonePeers);
+    OutgoingSubscriptions takeDueRequests (Timestamp now,
+                                           const std::vector<std::string>& zonePeers);
 
     /** Handles a heartbeat from a healthy reader of the zone.
         @param isReading  whether this node is a reader as well
         @returns the subscriptions to forward to that reader
     */
-    SubscriptionSendings heardReader (Timestamp now, const std::string& ip, bool isReading);
+    OutgoingSubscriptions onReaderHeartbeat (Timestamp now, const std::string& ip, bool isReading);
 
     /** Adds or renews a node's subscription.
         @returns the subscriptions to forward immediately
     */
-    SubscriptionSendings take (Timestamp now, const std::string& ip, bool isReading);
+    OutgoingSubscriptions addSubscriber (Timestamp now, const std::string& ip, bool isReading);
 
     /** IPs of the subscribers to this node's heartbeats. Removes expired subscriptions. */
     std::vector<std::string> subscribers (Timestamp now);
 
     /** Whether a reader of the zone sent a heartbeat within the last `readerMemory`. */
-    bool knowsReader (Timestamp now) const { return heardAt && now - *heardAt <= readerMemory; }
+    bool knowsReader (Timestamp now) const { return heardAt && now - *heardAt <= readerTimeout; }
 
 private:
-    SubscriptionSendings forwardToReader (Timestamp now);
+    OutgoingSubscriptions forwardToReader (Timestamp now);
 
     std::minstd_rand random;
     std::string readerIp;
--- a/src/mesh/tenant.cc
+++ b/src/mesh/tenant.cc
@@ -89,7 +89,7 @@
     return found == byCredential.end() ? nullptr : found->second;
 }
 
-const Tenant* TenantTable::named (std::string_view name) const
+const Tenant* TenantTable::findByName (std::string_view name) const
 {
     const auto found = byName.find (name);
     return found == byName.end() ? nullptr : found->second;
--- a/src/mesh/tenant.h
+++ b/src/mesh/tenant.h
@@ -21,7 +21,7 @@
     double requestsPerSecond = 0; /**< 0 means unlimited. */
     double burst = 0;             /**< Requests allowed at once beyond the rate. */
 
-    bool limits() const { return requestsPerSecond > 0; }
+    bool isLimited() const { return requestsPerSecond > 0; }
     bool operator== (const Quota&) const = default;
 };
 
@@ -56,7 +56,7 @@
     const Tenant* find (std::string_view credential) const;
 
     /** @returns the tenant with the given name, or nullptr */
-    const Tenant* named (std::string_view name) const;
+    const Tenant* findByName (std::string_view name) const;
 
 private:
     std::unordered_map<CredentialDigest, const Tenant*, CredentialDigestHash> byCredential;
--- a/src/mesh/tenant_quotas.cc
+++ b/src/mesh/tenant_quotas.cc
@@ -12,7 +12,7 @@
 
 constexpr Milliseconds reportInterval{ 1000 };
 
-/** Encodes the digests as pings with at most `mostDigests` each. Without digests, there is a single
+/** Encodes the digests as pings with at most `maxDigests` each. Without digests, there is a single
     empty ping.
 */
 std::vector<std::string> pingDatagrams (const std::vector<CandidatesDigest>& digests)
@@ -22,7 +22,7 @@
 
     do
     {
-        const auto end = std::min (begin + QuotaPing::mostDigests, digests.size());
+        const auto end = std::min (begin + QuotaPing::maxDigests, digests.size());
         QuotaPing ping;
         ping.digests.assign (digests.begin() + static_cast<std::ptrdiff_t> (begin),
                              digests.begin() + static_cast<std::ptrdiff_t> (end));
@@ -67,7 +67,7 @@
 
 const Tenant* TenantQuotas::tenantNamed (const std::string& name) const
 {
-    return routes == nullptr ? nullptr : routes->tenants().named (name);
+    return routes == nullptr ? nullptr : routes->tenants().findByName (name);
 }
 
 TenantQuotas::TenantState& TenantQuotas::stateFor (const std::string& tenant)
@@ -80,19 +80,19 @@
     return state;
 }
 
-void TenantQuotas::take (Timestamp now, const Tenant& tenant, Callback callback)
+void TenantQuotas::acquire (Timestamp now, const Tenant& tenant, Callback callback)
 {
-    if (! tenant.quota.limits())
+    if (! tenant.quota.isLimited())
         return callback ({});
 
     const auto name = tenant.name; // The callback may release the configuration.
     auto& state = stateFor (name);
     const auto step = state.lease.take (now);
 
-    if (step == QuotaStep::wait)
+    if (step == QuotaDecision::wait)
         state.waiting.push_back ({ std::move (callback), now });
     else
-        pass (now, { std::move (callback), {} }, state, step == QuotaStep::pass, false);
+        pass (now, { std::move (callback), {} }, state, step == QuotaDecision::pass, false);
 
     askIfNeeded (now, name);
 }
@@ -118,25 +118,25 @@
 
     ++(passed ? state.passed : state.refused);
 
-    const auto lapsesAt = passed && ! alone ? state.lease.lapseOfLatestPass() : Timestamp{};
+    const auto lapsesAt = passed && ! alone ? state.lease.latestPassExpiry() : Timestamp{};
     waiting.callback ({ passed, alone ? std::string() : state.lastKeeper, lapsesAt });
 }
 
-std::vector<TenantUse> TenantQuotas::uses (std::size_t most) const
+std::vector<TenantRequestCounts> TenantQuotas::busiestTenants (std::size_t most) const
 {
-    std::vector<TenantUse> all;
+    std::vector<TenantRequestCounts> all;
 
     for (const auto& [name, state] : byTenant)
         all.push_back ({ name, state.passed, state.refused });
 
     std::sort (all.begin(), all.end(),
-               [] (const TenantUse& a, const TenantUse& b)
+               [] (const TenantRequestCounts& a, const TenantRequestCounts& b)
                { return a.passed + a.refused > b.passed + b.refused; });
 
     if (all.size() <= most)
         return all;
 
-    TenantUse others;
+    TenantRequestCounts others;
 
     for (auto it = all.begin() + static_cast<std::ptrdiff_t> (most); it != all.end(); ++it)
     {
@@ -160,19 +160,19 @@
     }
 }
 
-QuotaGrant TenantQuotas::answerAsk (Timestamp now, const QuotaAsk& ask, const std::string& ip)
+QuotaGrant TenantQuotas::answerAsk (Timestamp now, const QuotaRequest& ask, const std::string& ip)
 {
     const auto* known = tenantNamed (ask.tenant);
     Tenant tenant;
     tenant.name = ask.tenant;
     // This node's configuration version may lack the tenant or its limit, so the quota that the
     // asking node sent is used instead.
-    tenant.quota = known != nullptr && known->quota.limits() ? known->quota : ask.quota;
-    auto grant = keeper.ask (now, tenant, ask, ip);
+    tenant.quota = known != nullptr && known->quota.isLimited() ? known->quota : ask.quota;
+    auto grant = keeper.handleRequest (now, tenant, ask, ip);
     scheduleReport (now);
 
     // A node that has just become a keeper must find out immediately which nodes it can reach.
-    if (pingAt == Timestamp::max() || keeper.hasBegun())
+    if (pingAt == Timestamp::max() || keeper.takeStartedFlag())
         ping (now);
 
     return grant;
@@ -180,9 +180,9 @@
 
 void TenantQuotas::ping (Timestamp now)
 {
-    const auto receivers = keeper.pingsDue (now);
+    const auto receivers = keeper.nodesToPing (now);
 
-    for (const auto& bytes : pingDatagrams (keeper.keptDigests()))
+    for (const auto& bytes : pingDatagrams (keeper.digestsOfKeptTenants()))
         for (const auto& ip : receivers)
             hooks.send (ip, bytes);
 
@@ -226,11 +226,11 @@
             continue;
 
         state.use.keeper = state.lastKeeper;
-        hooks.used (tenant, std::exchange (state.use, {}));
+        hooks.onUsageReport (tenant, std::exchange (state.use, {}));
     }
 
     for (const auto& [tenant, keeping] : keeper.takeReports())
-        hooks.kept (tenant, keeping);
+        hooks.onKeeperReport (tenant, keeping);
 }
 
 QuotaPing TenantQuotas::makePingReply (const QuotaPing& ping)
@@ -245,14 +245,14 @@
 
 bool TenantQuotas::receive (Timestamp now, const std::string& ip, std::string_view datagram)
 {
-    if (const auto ask = decodeQuotaAsk (datagram))
+    if (const auto ask = decodeQuotaRequest (datagram))
     {
         // A node without a configuration doesn't know the quotas and must not be taken for a live
         // keeper. It doesn't answer, so that another node takes over.
         if (! isConfigured())
             return true;
 
-        keeper.heard (now, ip);
+        keeper.recordContact (now, ip);
         hooks.send (ip, encode (answerAsk (now, *ask, ip)));
         return true;
     }
@@ -265,11 +265,11 @@
 
     if (const auto ping = decodeQuotaPing (datagram))
     {
-        keeper.heard (now, ip);
+        keeper.recordContact (now, ip);
 
         if (ping->isReply)
             for (const auto& digest : ping->digests)
-                keeper.heardDigest (now, ip, digest);
+                keeper.recordDigest (now, ip, digest);
         else if (isConfigured())
             hooks.send (ip, encode (makePingReply (*ping)));
 
--- a/src/mesh/tenant_quotas.h
+++ b/src/mesh/tenant_quotas.h
@@ -27,7 +27,7 @@
 {
 
 /** Details of a fallback to this node's local share of a tenant's quota, for the log. */
-struct QuotaSolitude
+struct QuotaFallback
 {
     std::string tenant;
     std::size_t waiting = 0; /**< Requests decided by this node's share of the quota. */
@@ -43,13 +43,13 @@
     std::function<void (const std::string& ip, const std::string& bytes)> send;
 
     /** Called when no keeper of a tenant's quota could be reached. */
-    std::function<void (const QuotaSolitude&)> alone;
+    std::function<void (const QuotaFallback&)> onLocalFallback;
 
     /** Called about once a second for each tenant with requests at this node. */
-    std::function<void (const std::string& tenant, const QuotaUse&)> used;
+    std::function<void (const std::string& tenant, const QuotaUsage&)> onUsageReport;
 
     /** Called about once a second for each tenant whose quota this node grants. */
-    std::function<void (const std::string& tenant, const QuotaKeeping&)> kept;
+    std::function<void (const std::string& tenant, const QuotaKeeperActivity&)> onKeeperReport;
 };
 
 /** Totals since the start. */
@@ -65,7 +65,7 @@
 };
 
 /** One tenant's request counts since this node first saw the tenant. */
-struct TenantUse
+struct TenantRequestCounts
 {
     std::string tenant;
     std::uint64_t passed = 0, refused = 0;
@@ -92,7 +92,7 @@
     void setDirectory (const DirectorySnapshot& directory);
 
     /** Decides on a tenant's request. The callback may be invoked before this returns. */
-    void take (Timestamp now, const Tenant& tenant, Callback callback);
+    void acquire (Timestamp now, const Tenant& tenant, Callback callback);
 
     /** Returns the grant of a request that was passed but not executed.
         @param lapsesAt  the value from the verdict
@@ -115,7 +115,7 @@
     /** Request counts of the `most` busiest tenants at this node. If there are more tenants, a last
         entry without a name has the sum of the others.
     */
-    std::vector<TenantUse> uses (std::size_t most) const;
+    std::vector<TenantRequestCounts> busiestTenants (std::size_t most) const;
     const QuotaKeeperCounters& keeperCounters() const { return keeper.counters(); }
 
 private:
@@ -157,7 +157,7 @@
         bool hasCandidates = false;
         std::string lastKeeper; /**< IP of the keeper that answered last. */
         std::uint64_t passed = 0, refused = 0;
-        QuotaUse use; /**< Counts since the last report. */
+        QuotaUsage use; /**< Counts since the last report. */
         CurrentAsk currentAsk;
     };
 
@@ -167,7 +167,7 @@
     void askNextKeeper (Timestamp now, const std::string& tenant, TenantState& state);
     void askKeeper (Timestamp now, const std::string& tenant, TenantState& state,
                     const std::string& ip);
-    static QuotaAsk makeAsk (const std::string& tenant, const TenantState& state);
+    static QuotaRequest makeAsk (const std::string& tenant, const TenantState& state);
     void sendAsk (Timestamp now, const std::string& tenant, TenantState& state);
     void onAnswerTimeout (Timestamp now, const std::string& tenant);
     void receiveGrant (Timestamp now, const std::string& ip, const QuotaGrant& grant);
@@ -176,7 +176,7 @@
     void admitGranted (Timestamp now, TenantState& state, bool refuseRemaining);
     void dropExpiredAsks (Timestamp now);
     void decideLocally (Timestamp now, const std::string& tenant, TenantState& state);
-    QuotaGrant answerAsk (Timestamp now, const QuotaAsk& ask, const std::string& ip);
+    QuotaGrant answerAsk (Timestamp now, const QuotaRequest& ask, const std::string& ip);
     void pass (Timestamp now, const PendingRequest& waiting, TenantState& state, bool passed,
                bool alone);
     void ping (Timestamp now);
--- a/src/mesh/tenant_quotas_asks.cc
+++ b/src/mesh/tenant_quotas_asks.cc
@@ -25,20 +25,20 @@
     if (state.currentAsk.number != 0)
         return;
 
-    const auto wanted = state.lease.wanted (now, state.waiting.size());
+    const auto wanted = state.lease.tokensToRequest (now, state.waiting.size());
     const auto* known = tenantNamed (tenant);
 
     if (wanted == 0)
         return;
 
     // A newer configuration version has removed the limit.
-    if (known == nullptr || ! known->quota.limits())
+    if (known == nullptr || ! known->quota.isLimited())
         return admitAll (now, state);
 
     state.currentAsk = {};
     state.currentAsk.wanted = wanted;
     state.currentAsk.quota = known->quota;
-    state.currentAsk.returned = state.lease.takeLapsed (now);
+    state.currentAsk.returned = state.lease.takeExpired (now);
     askNextKeeper (now, tenant, state);
 }
 
@@ -52,7 +52,7 @@
     askKeeper (now, tenant, state, node->ip);
 }
 
-QuotaAsk TenantQuotas::makeAsk (const std::string& tenant, const TenantState& state)
+QuotaRequest TenantQuotas::makeAsk (const std::string& tenant, const TenantState& state)
 {
     const auto& currentAsk = state.currentAsk;
     return { currentAsk.number,   tenant,           currentAsk.wanted,
@@ -105,12 +105,12 @@
         return;
 
     ++counts.unanswered;
-    answerTime.timedOut();
+    answerTime.recordTimeOut();
 
     if (state.currentAsk.sent < maxSends)
         return sendAsk (now, tenant, state);
 
-    choice.silent (now, state.currentAsk.ip);
+    choice.markUnresponsive (now, state.currentAsk.ip);
     askNextKeeper (now, tenant, state);
 }
 
@@ -128,11 +128,11 @@
         return;
 
     const auto sent = sentAsks.extract (found).mapped();
-    choice.answered (ip);
+    choice.markResponsive (ip);
 
     // If the ask was sent twice, it isn't known which datagram was answered.
     if (sent.sent == 1)
-        answerTime.answered (now - sent.sentAt);
+        answerTime.recordAnswer (now - sent.sentAt);
 
     auto& state = stateFor (sent.tenant);
 
@@ -142,7 +142,7 @@
     if (grant.granted == 0)
         return;
 
-    state.lease.granted (now, grant.granted, grant.alonePerSecond);
+    state.lease.addGrant (now, grant.granted, grant.fallbackPerSecond);
     admitGranted (now, state, false);
 }
 
@@ -162,10 +162,10 @@
     state.lastKeeper = state.currentAsk.ip;
 
     if (grant.granted > 0)
-        state.lease.granted (now, grant.granted, grant.alonePerSecond);
+        state.lease.addGrant (now, grant.granted, grant.fallbackPerSecond);
 
     if (grant.retryAfterMs > 0)
-        state.lease.refused (now, Milliseconds (grant.retryAfterMs));
+        state.lease.refuseFor (now, Milliseconds (grant.retryAfterMs));
 
     admitGranted (now, state, grant.retryAfterMs > 0);
 
@@ -179,7 +179,7 @@
 
     for (auto& each : waiting)
     {
-        const bool passed = state.lease.takeGranted (now) == QuotaStep::pass;
+        const bool passed = state.lease.takeGranted (now) == QuotaDecision::pass;
 
         // Requests that arrived after the ask was sent are covered by the next ask.
         if (! passed && ! refuseRemaining)
@@ -200,16 +200,16 @@
     state.currentAsk.number = 0;
     const auto* known = tenantNamed (tenant);
     auto waiting = std::exchange (state.waiting, {});
-    hooks.alone ({ tenant, waiting.size(), state.currentAsk.tried.size(), view.nodes().size(),
-                   state.lease.perSecond (now) });
+    hooks.onLocalFallback ({ tenant, waiting.size(), state.currentAsk.tried.size(),
+                             view.nodes().size(), state.lease.arrivalRate (now) });
 
     std::uniform_real_distribution<double> uniform (0, 1);
 
     for (auto& each : waiting)
     {
-        const bool passed =
-            known == nullptr || state.lease.takeAlone (now, known->quota, view.nodes().size(),
-                                                       uniform (random)) == QuotaStep::pass;
+        const bool passed = known == nullptr ||
+                            state.lease.takeWithoutKeeper (now, known->quota, view.nodes().size(),
+                                                           uniform (random)) == QuotaDecision::pass;
         pass (now, each, state, passed, true);
     }
 }
--- a/src/mesh/zone_evacuations.cc
+++ b/src/mesh/zone_evacuations.cc
@@ -13,12 +13,12 @@
 bool ZoneEvacuations::relistsEndedEvacuation (const ZoneState& state,
                                               const EvacuationChange& change)
 {
-    return state.change.over && ! change.over && ! change.retained &&
+    return state.change.ended && ! change.ended && ! change.retained &&
            state.change.position.epoch < change.position.epoch &&
            change.position.revision <= state.lastOrderRevision;
 }
 
-bool ZoneEvacuations::take (Timestamp now, const EvacuationChange& change)
+bool ZoneEvacuations::apply (Timestamp now, const EvacuationChange& change)
 {
     const auto [found, isNew] = byZone.try_emplace (change.zone);
     auto& state = found->second;
@@ -35,21 +35,21 @@
     if (! isNew && state.change.retained && change.position == state.change.position)
         return false;
 
-    const bool wasOver = isNew || state.change.over;
+    const bool wasOver = isNew || state.change.ended;
     state.change = change;
 
     if (change.retained)
         state.retainedAt = now;
 
-    if (! change.over)
+    if (! change.ended)
         state.lastOrderRevision = change.position.revision;
 
-    return wasOver != change.over;
+    return wasOver != change.ended;
 }
 
-std::vector<EvacuationChange> ZoneEvacuations::removeAllBut (Timestamp now,
-                                                             const std::set<std::string>& listed,
-                                                             SourcePosition position)
+std::vector<EvacuationChange> ZoneEvacuations::removeUnlisted (Timestamp now,
+                                                               const std::set<std::string>& listed,
+                                                               SourcePosition position)
 {
     std::vector<EvacuationChange> removed;
 
@@ -57,7 +57,7 @@
     {
         auto& change = state.change;
 
-        if (change.over || change.retained || change.position > position || listed.contains (zone))
+        if (change.ended || change.retained || change.position > position || listed.contains (zone))
             continue;
 
         if (change.position.epoch < position.epoch)
@@ -66,7 +66,7 @@
             continue;
         }
 
-        change.over = true;
+        change.ended = true;
         change.position = position;
         removed.push_back (change);
     }
@@ -84,7 +84,7 @@
             continue;
 
         state.change.retained = false;
-        state.change.over = ! state.change.over;
+        state.change.ended = ! state.change.ended;
         changed.push_back (state.change);
     }
 
@@ -107,7 +107,7 @@
     std::set<std::string> evacuated;
 
     for (const auto& [zone, state] : byZone)
-        if (! state.change.over)
+        if (! state.change.ended)
             evacuated.insert (zone);
 
     return evacuated;
--- a/src/mesh/zone_evacuations.h
+++ b/src/mesh/zone_evacuations.h
@@ -20,7 +20,7 @@
 {
     std::string zone;
     SourcePosition position;
-    bool over = false; /**< Whether the evacuation has ended. */
+    bool ended = false; /**< Whether the evacuation has ended. */
 
     /** Overrides an older state of the zone that a restored source lists. */
     bool retained = false;
@@ -42,14 +42,14 @@
     /** Applies a change, unless the zone's recorded state is newer.
         @returns true if the zone became evacuated or its evacuation ended
     */
-    bool take (Timestamp now, const EvacuationChange& change);
+    bool apply (Timestamp now, const EvacuationChange& change);
 
     /** Ends, as of `position`, the evacuations that a complete listing doesn't contain. Those of an
         earlier epoch are retained, since the restore may have lost them.
         @returns the evacuations that it ended
     */
-    std::vector<EvacuationChange> removeAllBut (Timestamp now, const std::set<std::string>& listed,
-                                                SourcePosition position);
+    std::vector<EvacuationChange>
+    removeUnlisted (Timestamp now, const std::set<std::string>& listed, SourcePosition position);
 
     /** Ends expired retentions, after which a zone's state is the one that the source lists.
         @returns the resulting changes
--- a/src/sidecar/hop/active_request.cc
+++ b/src/sidecar/hop/active_request.cc
@@ -71,7 +71,7 @@
                                           hop->lastHop->repeatShare() * hop->calls.of (route.name));
 
     const auto weak = weak_from_this();
-    exchange->onGone = [weak]
+    exchange->onDisconnect = [weak]
     {
         if (const auto self = weak.lock())
             self->onClientLeft();
@@ -231,9 +231,9 @@
     const auto& id = attempts[index].choice.instance.id;
 
     if (delivery == HopDelivery::unreachable)
-        hop->chooser.shun (now(), id, mesh::unreachableAvoidance);
+        hop->chooser.avoidInstance (now(), id, mesh::unreachableAvoidance);
     else if (delivery == HopDelivery::lost)
-        hop->chooser.shun (now(), id, mesh::lostAvoidance);
+        hop->chooser.avoidInstance (now(), id, mesh::lostAvoidance);
 
     onAnswer (index, answer);
 }
@@ -246,7 +246,7 @@
         return;
 
     const auto at = now();
-    hop->chooser.shun (at, attempt.choice.instance.id, duration);
+    hop->chooser.avoidInstance (at, attempt.choice.instance.id, duration);
     hop->log->write (at, EventKind::peerAvoided,
                      { { "instance", attempt.choice.instance.id },
                        { "cause", nameOf (answer.report.cause, mesh::hopCauseNames) },
@@ -262,7 +262,7 @@
     hop->chooser.ended (id);
 
     if (! report.instanceId.empty() || report.outcome != HopOutcome::unknown)
-        hop->chooser.reported (now(), id, { report.load, report.runMs, report.bodyMs });
+        hop->chooser.reported (now(), id, { report.load, report.runMs, report.bodyTransferMs });
 
     if (report.configurationVersion != 0 && hop->onPeerVersion)
         hop->onPeerVersion (report.configurationVersion, attempt.choice.instance.address.ip);
--- a/src/sidecar/hop/active_request_retry.cc
+++ b/src/sidecar/hop/active_request_retry.cc
@@ -35,9 +35,9 @@
 
 mesh::RetryClaim ActiveRequest::retryClaim() const
 {
-    const bool comesBack =
-        priorAttemptsTime == Milliseconds (0) && hop->clientRetries.comesBack (route.name);
-    return { ! comesBack, priorityOf (route, tenant) };
+    const bool expectsClientRetry =
+        priorAttemptsTime == Milliseconds (0) && hop->clientRetries.expectsClientRetry (route.name);
+    return { ! expectsClientRetry, priorityOf (route, tenant) };
 }
 
 void ActiveRequest::onAnswer (std::size_t index, const HopAnswer& answer)
--- a/src/sidecar/hop/first_hop.cc
+++ b/src/sidecar/hop/first_hop.cc
@@ -98,13 +98,13 @@
     if (duration > Milliseconds (0))
         return chooser.suspect (at, reply.instanceId, duration);
 
-    chooser.reported (at, reply.instanceId, { reply.load, reply.runMs, reply.bodyMs });
+    chooser.reported (at, reply.instanceId, { reply.load, reply.runMs, reply.bodyTransferMs });
 }
 
 void FirstHop::setDirectory (mesh::DirectoryPointer newDirectory)
 {
     directory = std::move (newDirectory);
-    chooser.forgetAllBut (*directory);
+    chooser.forgetUnlisted (*directory);
     quotas.setDirectory (*directory);
     guard->setDirectory (*directory);
 }
@@ -164,7 +164,7 @@
               fmt::format ("{:.3f}", static_cast<double> (retryAfter.count()) / 1000) });
 
     const bool close = mustClose (*exchange);
-    exchange->respond (ownAnswer (status, cause, fields, close, exchange->isHead()), close);
+    exchange->respond (localAnswer (status, cause, fields, close, exchange->isHead()), close);
 }
 
 bool FirstHop::mustClose (const Exchange& exchange) const
@@ -173,7 +173,7 @@
     return exchange.mustClose() || (closing && exchange.isLatest());
 }
 
-bool FirstHop::mayRunBeside (const RequestHead& head) const
+bool FirstHop::canRunConcurrently (const RequestHead& head) const
 {
     if (routes == nullptr)
         return false;
@@ -190,7 +190,7 @@
 bool FirstHop::isRecentlyConfirmed() const
 {
     const auto age = msSinceConfirmation();
-    return age && *age <= static_cast<double> (settings.credentials.freshWord.count());
+    return age && *age <= static_cast<double> (settings.credentials.maxConfirmationAge.count());
 }
 
 void FirstHop::refuse (const ExchangePointer& exchange, int status, std::string_view cause)
@@ -247,7 +247,7 @@
 
     const auto credential = onlyValue (exchange->head.fields, settings.names.credential);
     const auto checked =
-        checkCredential (settings.credentials, { *routes, *route, credential, exchange->fromOwnIp,
+        checkCredential (settings.credentials, { *routes, *route, credential, exchange->fromSameIp,
                                                  msSinceConfirmation() });
 
     if (checked.verdict != mesh::CredentialVerdict::accepted)
--- a/src/sidecar/hop/first_hop.h
+++ b/src/sidecar/hop/first_hop.h
@@ -81,7 +81,7 @@
         may be repeated qualifies, since an answer that closes the connection makes the client send
         the later requests again.
     */
-    bool mayRunBeside (const RequestHead& head) const;
+    bool canRunConcurrently (const RequestHead& head) const;
 
     /** To be called several times a second. */
     void tick() { calls.sample (instanceIsIdle()); }
--- a/src/sidecar/hop/first_hop_tenants.cc
+++ b/src/sidecar/hop/first_hop_tenants.cc
@@ -25,7 +25,7 @@
         if (queries != nullptr)
             queries->sendOther (ip, bytes);
     };
-    hooks.alone = [this] (const mesh::QuotaSolitude& alone)
+    hooks.alone = [this] (const mesh::QuotaFallback& alone)
     {
         log->write (SteadyClock().Now(), EventKind::quotaAlone,
                     { { "tenant", alone.tenant },
@@ -34,7 +34,7 @@
                       { "nodes", static_cast<std::int64_t> (alone.nodes) },
                       { "per_second", alone.perSecond } });
     };
-    hooks.used = [this] (const std::string& tenant, const mesh::QuotaUse& use)
+    hooks.used = [this] (const std::string& tenant, const mesh::QuotaUsage& use)
     {
         log->write (SteadyClock().Now(), EventKind::quotaUsed,
                     { { "tenant", tenant },
@@ -45,7 +45,7 @@
                       { "refused_alone", std::int64_t (use.refusedAlone) },
                       { "returned", std::int64_t (use.returned) } });
     };
-    hooks.kept = [this] (const std::string& tenant, const mesh::QuotaKeeping& keeping)
+    hooks.kept = [this] (const std::string& tenant, const mesh::QuotaKeeperActivity& keeping)
     {
         log->write (SteadyClock().Now(), EventKind::quotaKept,
                     { { "tenant", tenant },
@@ -127,7 +127,7 @@
 void FirstHop::refuseCredential (const ExchangePointer& exchange, const mesh::Route& route,
                                  const mesh::CredentialResult& result)
 {
-    const bool isUnconfirmed = result.verdict == mesh::CredentialVerdict::wordTooOld;
+    const bool isUnconfirmed = result.verdict == mesh::CredentialVerdict::configurationMayBeStale;
     const int status = isUnconfirmed ? 503 : 401;
     const auto cause = nameOf (result.verdict, mesh::credentialVerdictNames);
     ++(! isUnconfirmed ? counts.unknownCredentials : counts.refused);
--- a/src/sidecar/hop/hop_caller.cc
+++ b/src/sidecar/hop/hop_caller.cc
@@ -92,7 +92,7 @@
 {
 }
 
-HopCaller::~HopCaller() { client->dropAllIdle(); }
+HopCaller::~HopCaller() { client->closeAllIdleConnections(); }
 
 HopCallHandle HopCaller::send (const std::string& ip, HopCall call, Timestamp deadline,
                                Callback callback)
--- a/src/sidecar/hop/instance_search.cc
+++ b/src/sidecar/hop/instance_search.cc
@@ -87,7 +87,7 @@
     }
     else if (asked == 0)
     {
-        applyStep (poll.timeUp());
+        applyStep (poll.waitExpired());
     }
 
     if (callback != nullptr && ! widened)
@@ -155,14 +155,14 @@
     if (overdue < waited)
         suspectUnanswered();
 
-    applyStep (poll.timeUp());
+    applyStep (poll.waitExpired());
 }
 
 void InstanceSearch::suspectUnanswered()
 {
     for (const auto& asked : poll.all())
         if (! asked.answered)
-            context.chooser->suspect (now(), asked.instance.id, mesh::silentAvoidance);
+            context.chooser->suspect (now(), asked.instance.id, mesh::unansweredQueryAvoidance);
 }
 
 void InstanceSearch::applyStep (mesh::PollStep step)
@@ -176,8 +176,8 @@
     if (step == mesh::PollStep::widen)
         return widen();
 
-    if (step == mesh::PollStep::widenFar)
-        return widenFar();
+    if (step == mesh::PollStep::widenToOtherRegions)
+        return widenToOtherRegions();
 
     SearchResult found;
     found.step = step;
@@ -193,7 +193,7 @@
                   replyTimeout);
 }
 
-void InstanceSearch::widenFar()
+void InstanceSearch::widenToOtherRegions()
 {
     ++context.counts->widenedToOtherRegions;
     awaitReplies (ask (mesh::Proximity::otherRegion), otherRegionReplyTimeout);
@@ -202,7 +202,7 @@
 void InstanceSearch::awaitReplies (std::size_t queried, Milliseconds timeout)
 {
     if (queried == 0)
-        return applyStep (poll.timeUp());
+        return applyStep (poll.waitExpired());
 
     armTimer (timeout);
 }
--- a/src/sidecar/hop/instance_search.h
+++ b/src/sidecar/hop/instance_search.h
@@ -19,9 +19,9 @@
 /** The outcome of a search. */
 struct SearchResult
 {
-    mesh::PollStep step = mesh::PollStep::unheard; /**< The step that ended the search. */
-    mesh::Choice choice;                           /**< Set for `take`. */
-    mesh::HopCause cause = mesh::HopCause::none;   /**< Set for `refuse`. */
+    mesh::PollStep step = mesh::PollStep::noUsableReply; /**< The step that ended the search. */
+    mesh::Choice choice;                                 /**< Set for `take`. */
+    mesh::HopCause cause = mesh::HopCause::none;         /**< Set for `refuse`. */
     std::size_t asked = 0, replies = 0;
     bool widened = false; /**< Instances of other zones were queried as well. */
     double tookMs = 0;
@@ -63,7 +63,7 @@
     std::optional<mesh::Instance> findLocal() const;
     std::size_t ask (mesh::Proximity proximity);
     void widen();
-    void widenFar();
+    void widenToOtherRegions();
     void awaitReplies (std::size_t queried, Milliseconds timeout);
     void armTimer (Milliseconds timeout);
     void applyStep (mesh::PollStep step);
--- a/src/sidecar/http/http_client.cc
+++ b/src/sidecar/http/http_client.cc
@@ -83,7 +83,7 @@
     busy.erase (connection.get());
     auto& list = idle[connection->target()];
 
-    if (list.size() >= settings.mostIdle)
+    if (list.size() >= settings.maxIdlePerTarget)
         connection->close();
     else
         list.push_back (connection);
@@ -102,7 +102,7 @@
     }
 }
 
-void HttpClient::dropIdle (const SocketAddress& target)
+void HttpClient::closeIdleConnections (const SocketAddress& target)
 {
     const auto found = idle.find (ToString (target));
 
@@ -116,7 +116,7 @@
         connection->close();
 }
 
-void HttpClient::dropAllIdle()
+void HttpClient::closeAllIdleConnections()
 {
     const auto lists = std::move (idle);
     idle.clear();
--- a/src/sidecar/http/http_client.h
+++ b/src/sidecar/http/http_client.h
@@ -37,11 +37,12 @@
     CallEnd end = CallEnd::notConnected;
     ResponseHead head;
     std::string body;
-    bool reused = false;  /**< An existing connection was used. */
-    bool sent = false;    /**< At least one byte was written. */
-    bool refused = false; /**< Nothing listens at the target, so that the connection was refused. */
-    Duration took{};      /**< Time since the request was written. */
-    std::string cause;    /**< Description of a failure. */
+    bool reused = false; /**< An existing connection was used. */
+    bool sent = false;   /**< At least one byte was written. */
+    bool connectionRefused =
+        false;         /**< Nothing listens at the target, so that the connection was refused. */
+    Duration took{};   /**< Time since the request was written. */
+    std::string cause; /**< Description of a failure. */
 };
 
 struct CallOptions
@@ -68,9 +69,9 @@
 struct ClientSettings
 {
     Milliseconds connectTimeout{ 300 };
-    Milliseconds unacknowledged{ 600 };
-    Milliseconds idleTime{ 4000 }; /**< Time for which an idle connection is kept. */
-    std::size_t mostIdle = 64;     /**< Maximum number of idle connections per target. */
+    Milliseconds unacknowledgedTimeout{ 600 };
+    Milliseconds idleTime{ 4000 };     /**< Time for which an idle connection is kept. */
+    std::size_t maxIdlePerTarget = 64; /**< Maximum number of idle connections per target. */
     std::size_t maxAnswerBytes = 16 << 20;
 };
 
@@ -110,12 +111,12 @@
                       std::function<void (CallResult)> callback);
 
     /** Closes the idle connections to a target. */
-    void dropIdle (const SocketAddress& target);
+    void closeIdleConnections (const SocketAddress& target);
 
     /** Closes all idle connections. This must be called before the client is released, since it and
         its idle connections own each other.
     */
-    void dropAllIdle();
+    void closeAllIdleConnections();
 
     const ClientCounters& counters() const { return counts; }
 
--- a/src/sidecar/http/http_server.cc
+++ b/src/sidecar/http/http_server.cc
@@ -16,7 +16,7 @@
 
 void Exchange::respond (const std::string& message, bool close)
 {
-    onGone = nullptr;
+    onDisconnect = nullptr;
 
     if (const auto open = connection.lock())
         open->respond (*this, message, close || closeAfterResponse);
--- a/src/sidecar/http/http_server.h
+++ b/src/sidecar/http/http_server.h
@@ -30,13 +30,13 @@
 public:
     RequestHead head;
     std::string body;
-    Timestamp arrivedAt{};  /**< Time when its last byte was read. */
-    bool fromOwnIp = false; /**< True if the client's IP is the one that the server listens on. */
+    Timestamp arrivedAt{};   /**< Time when its last byte was read. */
+    bool fromSameIp = false; /**< True if the client's IP is the one that the server listens on. */
 
     /** Called at most once, if the client disconnects or its connection is closed before the
         request is answered.
     */
-    std::function<void()> onGone;
+    std::function<void()> onDisconnect;
 
     /** Sends a complete response. May be called once; has no effect if the client has disconnected.
         @param close  the message announces that the connection closes
@@ -47,7 +47,7 @@
     void continueBody();
 
     /** @returns true if the client has closed the connection, even if that isn't handled yet */
-    bool clientLeft() const;
+    bool clientDisconnected() const;
 
     /** @returns true if the connection must close after the response, whatever the response says */
     bool mustClose() const { return closeAfterResponse; }
@@ -79,7 +79,7 @@
         unanswered. Such a request may be cancelled, and its client may send it again. If empty, no
         request may.
     */
-    std::function<bool (const RequestHead&)> mayRunBeside;
+    std::function<bool (const RequestHead&)> canRunConcurrently;
 
     /** Called with the head of a request whose client withholds the body ("Expect: 100-continue").
         It either calls continueBody(), at any time, or respond(), after which the body is not sent
@@ -94,8 +94,9 @@
 /** Counters since the start of the server. */
 struct ServerCounters
 {
-    std::uint64_t besideOthers = 0; /**< Requests dispatched while earlier ones were unanswered. */
-    mesh::LatencyHistogram answerHeld; /**< Time that responses waited for earlier ones. */
+    std::uint64_t startedConcurrently =
+        0; /**< Requests dispatched while earlier ones were unanswered. */
+    mesh::LatencyHistogram headOfLineDelay; /**< Time that responses waited for earlier ones. */
 };
 
 class HttpServer : public std::enable_shared_from_this<HttpServer>
--- a/src/sidecar/http/messages.cc
+++ b/src/sidecar/http/messages.cc
@@ -85,8 +85,8 @@
     return message;
 }
 
-std::string ownAnswer (int status, std::string_view cause, const HeaderFields& fields, bool close,
-                       bool isHead)
+std::string localAnswer (int status, std::string_view cause, const HeaderFields& fields, bool close,
+                         bool isHead)
 {
     auto all = fields;
     all.push_back ({ "Content-Type", "text/plain" });
@@ -96,7 +96,7 @@
 
 std::string plainAnswer (int status, std::string_view cause)
 {
-    return ownAnswer (status, cause, {}, true, false);
+    return localAnswer (status, cause, {}, true, false);
 }
 
 std::string_view reasonPhrase (int status)
--- a/src/sidecar/http/messages.h
+++ b/src/sidecar/http/messages.h
@@ -40,8 +40,8 @@
 std::string answerMessage (const AnswerParts& parts, const HeaderFields& fields);
 
 /** Builds a plain-text response that this node generates itself. */
-std::string ownAnswer (int status, std::string_view cause, const HeaderFields& fields, bool close,
-                       bool isHead);
+std::string localAnswer (int status, std::string_view cause, const HeaderFields& fields, bool close,
+                         bool isHead);
 
 /** Builds such a response without further fields, after which the connection closes. */
 std::string plainAnswer (int status, std::string_view cause);
--- a/src/sidecar/http/server_connection.cc
+++ b/src/sidecar/http/server_connection.cc
@@ -27,7 +27,7 @@
                                     bool isFromSameIp)
     : server (std::move (owner))
     , socket (std::move (socketToUse))
-    , fromOwnIp (isFromSameIp)
+    , fromSameIp (isFromSameIp)
     , idleSince (now())
 {
 }
@@ -76,13 +76,14 @@
     if (noMoreRequests || unsent >= maxUnsentBytes)
         return false;
 
-    return pending.empty() || (server->settings.mayRunBeside && ! server->draining &&
+    return pending.empty() || (server->settings.canRunConcurrently && ! server->draining &&
                                pending.size() < maxPendingRequests);
 }
 
 bool ServerConnection::canDispatch() const
 {
-    return canReadNext() && (pending.empty() || server->settings.mayRunBeside (exchange->head));
+    return canReadNext() &&
+           (pending.empty() || server->settings.canRunConcurrently (exchange->head));
 }
 
 bool ServerConnection::isReadingBlocked() const
@@ -167,7 +168,7 @@
         return;
 
     exchange = std::make_shared<Exchange>();
-    exchange->fromOwnIp = fromOwnIp;
+    exchange->fromSameIp = fromSameIp;
     BodyFraming framing;
     std::string fault;
     const auto text = std::string_view (input).substr (0, end);
@@ -220,7 +221,7 @@
     headStartedAt = now();
     dispatched->connection = weak_from_this();
 
-    server->counts.besideOthers += pending.empty() || alreadyQueued ? 0 : 1;
+    server->counts.startedConcurrently += pending.empty() || alreadyQueued ? 0 : 1;
 
     if (! alreadyQueued)
         pending.add (dispatched);
@@ -242,8 +243,8 @@
 
 void ServerConnection::notifyDisconnect (Exchange& abandoned)
 {
-    if (abandoned.onGone)
-        std::exchange (abandoned.onGone, nullptr)();
+    if (abandoned.onDisconnect)
+        std::exchange (abandoned.onDisconnect, nullptr)();
 }
 
 void ServerConnection::close()
--- a/src/sidecar/http/server_connection.h
+++ b/src/sidecar/http/server_connection.h
@@ -31,7 +31,7 @@
     /** Sends 100 Continue, so that the client sends the body of the request that is being read. */
     void continueBody (const Exchange& asked);
 
-    /** Closes the connection and calls Exchange::onGone for each pending request. */
+    /** Closes the connection and calls Exchange::onDisconnect for each pending request. */
     void close();
 
     /** @returns true if the client has closed its side, also if the end hasn't been read yet */
@@ -94,7 +94,7 @@
     Reactor::WatchId watch = 0;
     std::uint32_t interest = 0;
     State state = State::head;
-    bool fromOwnIp;
+    bool fromSameIp;
     std::string input, output;
     std::size_t written = 0;
     bool closeAfterWrite = false;
--- a/src/sidecar/http/server_connection_answers.cc
+++ b/src/sidecar/http/server_connection_answers.cc
@@ -62,7 +62,7 @@
     for (AnswerQueue::ReadyAnswer ready; ! closeAfterWrite && pending.takeReady (at, ready);)
     {
         if (ready.outOfOrder)
-            server->counts.answerHeld.observe (mesh::toMilliseconds (ready.timeQueued));
+            server->counts.headOfLineDelay.observe (mesh::toMilliseconds (ready.timeQueued));
 
         output.append (ready.message);
         closeAfterWrite = ready.close;
--- a/src/sidecar/instance/body_admission.h
+++ b/src/sidecar/instance/body_admission.h
@@ -24,7 +24,7 @@
 /** Counters since the process started. */
 struct BodyCounters
 {
-    std::uint64_t called = 0;        /**< Bodies whose senders were allowed to send them. */
+    std::uint64_t granted = 0;       /**< Bodies whose senders were allowed to send them. */
     std::uint64_t refused = 0;       /**< Bodies that could not have arrived in time. */
     std::uint64_t arrived = 0;       /**< Bodies that arrived completely. */
     std::uint64_t overdue = 0;       /**< Bodies whose slots were released before they arrived. */
@@ -47,13 +47,13 @@
         returns, and never after left().
         @param bytes  size of the body
     */
-    Id ask (const mesh::HopRequest& facts, std::size_t bytes, Decision decision);
+    Id requestAdmission (const mesh::HopRequest& facts, std::size_t bytes, Decision decision);
 
     /** Reports that an admitted body has arrived. @param bytes  bytes received */
     void arrived (Id id, std::size_t bytes);
 
     /** Reports that a body won't arrive, or that its transfer failed. */
-    void left (Id id);
+    void cancel (Id id);
 
     /** Returns the time until one more body of average size would have arrived, in milliseconds. */
     double expectedMs() const;
--- a/src/sidecar/instance/crash_guard.cc
+++ b/src/sidecar/instance/crash_guard.cc
@@ -44,7 +44,7 @@
 CrashGuard::digestIfSuspect (const mesh::RequestIdentity& request) const
 {
     // The digest covers the body, so it is computed only for requests with a suspect's head.
-    if (ledger.empty() || ! ledger.knowsHead (headDigestOf (request)))
+    if (ledger.empty() || ! ledger.hasSuspectWithHead (headDigestOf (request)))
         return std::nullopt;
 
     return digestOf (request);
@@ -130,9 +130,9 @@
     if (! send)
         return;
 
-    for (std::size_t from = 0; from < records.size(); from += mesh::SuspectNews::mostRecords)
+    for (std::size_t from = 0; from < records.size(); from += mesh::SuspectNews::maxRecords)
     {
-        const auto to = std::min (records.size(), from + mesh::SuspectNews::mostRecords);
+        const auto to = std::min (records.size(), from + mesh::SuspectNews::maxRecords);
         mesh::SuspectNews update;
         update.records.assign (records.begin() + static_cast<std::ptrdiff_t> (from),
                                records.begin() + static_cast<std::ptrdiff_t> (to));
@@ -161,7 +161,7 @@
 void CrashGuard::sendToRandomNodes()
 {
     ledger.advance (now());
-    const auto records = ledger.worthTelling (now(), mesh::SuspectNews::mostRecords);
+    const auto records = ledger.recordsToShare (now(), mesh::SuspectNews::maxRecords);
 
     if (! records.empty() && ! otherNodes.empty())
     {
@@ -176,7 +176,7 @@
 
 bool CrashGuard::receive (const std::string& ip, std::string_view datagram)
 {
-    const auto update = mesh::decodeSuspectNews (datagram);
+    const auto update = mesh::decodeSuspectUpdate (datagram);
 
     if (! update)
         return false;
--- a/src/sidecar/instance/crash_guard.h
+++ b/src/sidecar/instance/crash_guard.h
@@ -24,7 +24,7 @@
 /** Counters since the process started. */
 struct CrashGuardCounters
 {
-    std::uint64_t told = 0, heard = 0; /**< Datagrams sent; and received. */
+    std::uint64_t updatesSent = 0, updatesReceived = 0; /**< Datagrams sent; and received. */
     /** Requests that became held; and that were cleared. */
     std::uint64_t held = 0, cleared = 0;
     std::uint64_t refused = 0; /**< Held requests that this node refused. */
--- a/src/sidecar/instance/health_probe.cc
+++ b/src/sidecar/instance/health_probe.cc
@@ -51,7 +51,7 @@
 {
     const auto text = onlyValue (fields, names.coldTime);
     std::uint64_t count = 0;
-    const auto longest = static_cast<std::uint64_t> (mesh::longestColdTime.count());
+    const auto longest = static_cast<std::uint64_t> (mesh::maxColdTime.count());
 
     if (text.empty())
         return Milliseconds (0);
--- a/src/sidecar/instance/health_probe.h
+++ b/src/sidecar/instance/health_probe.h
@@ -24,7 +24,7 @@
     /** Zero for a warm instance, which leaves the field out; no value if the field holds no
         plausible time.
     */
-    std::optional<Milliseconds> coldFor;
+    std::optional<Milliseconds> coldRemaining;
 };
 
 class HealthProbe : public std::enable_shared_from_this<HealthProbe>
--- a/src/sidecar/instance/last_hop.cc
+++ b/src/sidecar/instance/last_hop.cc
@@ -47,7 +47,7 @@
     presumeCold (SteadyClock().Now(), "start");
 }
 
-LastHop::~LastHop() { client->dropAllIdle(); }
+LastHop::~LastHop() { client->closeAllIdleConnections(); }
 
 mesh::HopReport LastHop::report (HopOutcome outcome, HopCause cause) const
 {
@@ -57,7 +57,7 @@
     made.instanceId = instance.id();
     made.load = static_cast<double> (queue.running() + queue.waiting());
     made.runMs = queue.usualRunMs();
-    made.bodyMs = bodyMs ? bodyMs() : 0;
+    made.bodyTransferMs = bodyTransferMs ? bodyTransferMs() : 0;
     made.configurationVersion = configurationVersion;
     return made;
 }
@@ -318,7 +318,8 @@
 
 void LastHop::armTimer()
 {
-    const auto due = std::min (queue.nextExpiry(), queue.nextBoundedStart (SteadyClock().Now()));
+    const auto due =
+        std::min (queue.nextExpiry(), queue.nextRateLimitedStart (SteadyClock().Now()));
     timer.arm (due,
                [weak = weak_from_this()]
                {
--- a/src/sidecar/instance/last_hop.h
+++ b/src/sidecar/instance/last_hop.h
@@ -69,8 +69,8 @@
 struct LastHopCounters
 {
     mesh::LatencyHistogram queue, instance; /**< Time in the queue, and at the instance. */
-    std::uint64_t coldQuestions = 0;        /**< Probes of whether the instance is cold. */
-    std::uint64_t crashQuestions = 0;       /**< Probes of whether the instance has crashed. */
+    std::uint64_t coldProbes = 0;           /**< Probes of whether the instance is cold. */
+    std::uint64_t crashProbes = 0;          /**< Probes of whether the instance has crashed. */
     /** Crashes of the instance while requests ran there. */
     std::uint64_t crashes = 0;
 };
@@ -107,7 +107,7 @@
     /** Returns the time in milliseconds until a large body would have arrived over this node's
         link, for the reports.
     */
-    std::function<double()> bodyMs;
+    std::function<double()> bodyTransferMs;
 
     /** Returns the time in milliseconds until a large answer of this size would have been sent over
         this node's link.
@@ -135,10 +135,10 @@
     void setConfigurationVersion (std::uint64_t version) { configurationVersion = version; }
 
     /** From now on, refuses requests that are not expected to finish before `end`. */
-    void setEnd (Timestamp end) { runDeadline = end; }
+    void setRunDeadline (Timestamp end) { runDeadline = end; }
 
     /** Refuses all waiting requests, and all that arrive from now on. */
-    void stopTaking();
+    void stopAccepting();
 
     /** Probes an instance that is lost, unknown or possibly cold. Has to be called several times a
         second.
--- a/src/sidecar/instance/last_hop_crash.cc
+++ b/src/sidecar/instance/last_hop_crash.cc
@@ -79,10 +79,10 @@
 {
     crashCheckArmed = false;
 
-    if (! crashes.wondering() || ! health->canProbe())
+    if (! crashes.hasUnexplainedRuns() || ! health->canProbe())
         return;
 
-    ++counts.crashQuestions;
+    ++counts.crashProbes;
     probe();
 }
 
@@ -98,10 +98,10 @@
         if (running.startedAt != Timestamp{})
             oldest = std::min (oldest, running.startedAt);
 
-    crashes.questionCut (SteadyClock().Now(), oldest);
+    crashes.recordFailedProbe (SteadyClock().Now(), oldest);
     reportCrash();
 
-    if (crashes.wondering())
+    if (crashes.hasUnexplainedRuns())
         armCrashCheck();
 }
 
--- a/src/sidecar/instance/last_hop_forecast.cc
+++ b/src/sidecar/instance/last_hop_forecast.cc
@@ -52,7 +52,7 @@
     reply.instanceId = query.instanceId;
     reply.load = static_cast<double> (queue.running() + queue.waiting());
     reply.runMs = queue.usualRunMs();
-    reply.bodyMs = bodyMs ? bodyMs() : 0;
+    reply.bodyTransferMs = bodyTransferMs ? bodyTransferMs() : 0;
     reply.failureShare = failures.at (now);
     reply.cause = refusalOf (query.service, query.usualRunMs);
 
--- a/src/sidecar/instance/last_hop_instance.cc
+++ b/src/sidecar/instance/last_hop_instance.cc
@@ -39,7 +39,7 @@
         {
             log->write (now, EventKind::instanceLost,
                         { { "instance", before }, { "cause", result.cause } });
-            client->dropIdle (settings.instanceAddress);
+            client->closeIdleConnections (settings.instanceAddress);
             refuseAll (queue.clear(), HopCause::instanceDown);
         }
 
@@ -118,12 +118,13 @@
     const bool isFirst = window.most() == 0;
     health->setPath (service.healthPath);
     coldStart.setProfile (service.cold);
-    window.setMost (mesh::mostColdStarts (service.cold, settings.coldBounds));
-    window.setMostInQuarter (mesh::mostColdStartsInQuarter (service.cold, settings.coldBounds));
+    window.setMost (mesh::maxColdStarts (service.cold, settings.coldBounds));
+    window.setMostInQuarter (
+        mesh::maxColdStartsPerQuarterSecond (service.cold, settings.coldBounds));
 
     if (isFirst)
         window.assumeStarted (createdAt,
-                              mesh::unknownColdStarts (service.cold, settings.coldBounds));
+                              mesh::assumedColdStarts (service.cold, settings.coldBounds));
 
     applyColdState (now, "configuration");
     probeIfColdUnknown (now);
@@ -147,7 +148,7 @@
     if (! health->canProbe() || ! instance.known() || ! coldStart.wantsAnswer (now))
         return;
 
-    ++counts.coldQuestions;
+    ++counts.coldProbes;
     probe();
 }
 
@@ -187,14 +188,14 @@
 
     const auto* listed = entry == directory.byAddress.end() ? nullptr : &entry->second;
 
-    if (instance.takeEntry (listed))
+    if (instance.updateFromEntry (listed))
     {
         adoptIdentity (now, mesh::IdentitySource::entry, before);
-        client->dropIdle (settings.instanceAddress);
+        client->closeIdleConnections (settings.instanceAddress);
     }
 
     if (listed != nullptr && listed->instance.id == instance.id())
-        coldStart.listed (listed->changedAt, listed->instance.coldFor);
+        coldStart.listed (listed->changedAt, listed->instance.coldRemaining);
 
     applyColdState (now, "entry");
     probeIfColdUnknown (now);
@@ -252,7 +253,7 @@
     if (instance.id() != before)
         coldStart.asked (now);
 
-    coldStart.answered (now, answer.coldFor);
+    coldStart.answered (now, answer.coldRemaining);
     applyColdState (now, "answer");
     probeIfColdUnknown (now);
     pump();
--- a/src/sidecar/instance/peer_endpoint.cc
+++ b/src/sidecar/instance/peer_endpoint.cc
@@ -122,7 +122,7 @@
 
     const auto* key = exchange.get();
     // The connection owns the exchange, and the admission's callback must not keep it alive.
-    exchange->onGone = [weak = weak_from_this(), key]
+    exchange->onDisconnect = [weak = weak_from_this(), key]
     {
         if (const auto self = weak.lock())
             self->bodyLeft (key);
@@ -146,7 +146,7 @@
                      });
 
     // The exchange has no handler any more if the body was refused immediately.
-    if (exchange->onGone)
+    if (exchange->onDisconnect)
         admitted.emplace (key, id);
 }
 
@@ -183,7 +183,7 @@
     };
 
     auto id = std::make_shared<LastHop::CallId> (0);
-    exchange->onGone = [weak = std::weak_ptr<LastHop> (lastHop), id]
+    exchange->onDisconnect = [weak = std::weak_ptr<LastHop> (lastHop), id]
     {
         if (const auto hop = weak.lock())
             hop->cancel (*id);
--- a/src/sidecar/sidecar.cc
+++ b/src/sidecar/sidecar.cc
@@ -60,7 +60,7 @@
     bodies = std::make_shared<BodyAdmission> (reactor, settings.linkMbps);
     link = std::make_shared<LinkPacer> (reactor, settings.linkMbps);
     lastHop->answerMs = [pacer = link] (double bytes) { return pacer->expectedMs (bytes); };
-    lastHop->bodyMs = [admission = bodies] { return admission->expectedMs(); };
+    lastHop->bodyTransferMs = [admission = bodies] { return admission->expectedMs(); };
     peerEndpoint = std::make_shared<PeerEndpoint> (settings.names, lastHop, bodies, log, state);
     lastHop->setCrashGuard (crashGuard);
     firstHop = std::make_shared<FirstHop> (reactor, firstHopSettings (settings), lastHop,
@@ -108,9 +108,9 @@
             return;
 
         if (self->relay != nullptr)
-            self->relay->sawVersion (version, ip);
-        else if (self->onBehind)
-            self->onBehind();
+            self->relay->recordVersion (version, ip);
+        else if (self->onLaterVersion)
+            self->onLaterVersion();
     };
     firstHop->msSinceRoutesConfirmed = [weak]
     {
@@ -127,7 +127,7 @@
 
 void Sidecar::takeUpdate (Timestamp at, mesh::MeshUpdate update)
 {
-    const auto updated = update.at;
+    const auto updated = update.position;
     const auto known = state.reached();
     const auto outcome = state.take (at, std::move (update));
     logListingOutcome (at, outcome, updated, known);
@@ -142,11 +142,11 @@
     for (const auto& change : outcome.evacuations)
         logEvacuation (at, change);
 
-    for (const auto& id : outcome.wentBack)
+    for (const auto& id : outcome.staleIncarnations)
         refuseEntry (at, id, { ErrorKind::kBadValue, "born", "is earlier than before" });
 
     if (relay != nullptr)
-        relay->reached (at, state.reached(), state.configurations().version());
+        relay->positionReached (at, state.reached(), state.configurations().version());
 }
 
 void Sidecar::logListingOutcome (Timestamp at, const mesh::UpdateOutcome& outcome,
@@ -171,7 +171,7 @@
 void Sidecar::handleConfigurationOutcome (Timestamp at, const mesh::ConfigurationOutcome& outcome)
 {
     if (outcome.error.kind == ErrorKind::kUnknownBase && relay != nullptr)
-        relay->wantWhole();
+        relay->requestFullUpdate();
 
     if (! outcome.verdict || outcome.verdict == mesh::ConfigurationVerdict::older)
         return refuseConfiguration (at, outcome.error, outcome.position);
@@ -198,15 +198,15 @@
     const auto serviceSettings =
         found == configuration.services.end() ? mesh::ServiceSettings{} : found->second;
 
-    if (serviceSettings.cold.longest.count() > 0 && serviceSettings.cold.startsPerSecond < 1)
-        doubtValue (at, settings.service, "starts a second while cold",
-                    std::to_string (serviceSettings.cold.startsPerSecond));
+    if (serviceSettings.cold.coldPeriod.count() > 0 && serviceSettings.cold.startsPerSecond < 1)
+        reportImplausibleValue (at, settings.service, "starts a second while cold",
+                                std::to_string (serviceSettings.cold.startsPerSecond));
 
     lastHop->setServiceSettings (serviceSettings);
 }
 
-void Sidecar::doubtValue (Timestamp at, std::string_view key, std::string_view place,
-                          std::string_view value)
+void Sidecar::reportImplausibleValue (Timestamp at, std::string_view key, std::string_view place,
+                                      std::string_view value)
 {
     log->write (at, EventKind::valueDoubted,
                 { { "key", key }, { "place", place }, { "cause", value } });
@@ -218,7 +218,7 @@
     const auto instances =
         std::count_if (known.begin(), known.end(),
                        [&] (const auto& item) { return item.second.instance.zone == change.zone; });
-    log->write (at, change.over ? EventKind::zoneReturned : EventKind::zoneEvacuated,
+    log->write (at, change.ended ? EventKind::zoneReturned : EventKind::zoneEvacuated,
                 { { "zone", change.zone },
                   { "epoch", static_cast<std::int64_t> (change.position.epoch) },
                   { "revision", static_cast<std::int64_t> (change.position.revision) },
@@ -272,7 +272,7 @@
 
     const auto weak = weak_from_this();
     RelayHooks hooks;
-    hooks.take = [weak] (Timestamp at, mesh::MeshUpdate update)
+    hooks.applyUpdate = [weak] (Timestamp at, mesh::MeshUpdate update)
     {
         if (const auto self = weak.lock())
             self->takeUpdate (at, std::move (update));
@@ -284,31 +284,31 @@
         if (self != nullptr && self->setReading)
             self->setReading (reading, self->state.reached());
     };
-    hooks.look = [weak]
+    hooks.refreshListing = [weak]
     {
         const auto self = weak.lock();
 
-        if (self != nullptr && self->onLook)
-            self->onLook();
+        if (self != nullptr && self->onPeerListingRequested)
+            self->onPeerListingRequested();
     };
-    hooks.overtaken = [weak]
+    hooks.onPeerAheadOfSource = [weak]
     {
         const auto self = weak.lock();
 
-        if (self != nullptr && self->onOvertaken)
-            self->onOvertaken (self->state.reached());
+        if (self != nullptr && self->onLaterPosition)
+            self->onLaterPosition (self->state.reached());
     };
-    hooks.sourceSound = [weak] (Timestamp)
+    hooks.isSourceReachable = [weak] (Timestamp)
     {
         const auto self = weak.lock();
         return self != nullptr && self->sourceStatus && self->sourceStatus().healthy;
     };
-    hooks.setTryInterval = [weak] (Milliseconds interval)
+    hooks.setMinRetryInterval = [weak] (Milliseconds interval)
     {
         const auto self = weak.lock();
 
-        if (self != nullptr && self->setSourceTryInterval)
-            self->setSourceTryInterval (interval);
+        if (self != nullptr && self->setSourceMinRetryInterval)
+            self->setSourceMinRetryInterval (interval);
     };
     return std::make_shared<Relay> (reactor, std::move (made), std::move (hooks), log);
 }
@@ -327,9 +327,9 @@
 
 void Sidecar::logPause (Timestamp at)
 {
-    if (const auto pause = pauseWatch.look (at, SuspendedTime(), tickInterval))
+    if (const auto pause = pauseWatch.check (at, SuspendedTime(), tickInterval))
         log->write (at, EventKind::woke,
-                    { { "asleep_ms", mesh::toMilliseconds (pause->asleep) },
+                    { { "asleep_ms", mesh::toMilliseconds (pause->pauseDuration) },
                       { "suspended_ms", mesh::toMilliseconds (pause->suspended) },
                       { "in_flight", static_cast<std::int64_t> (inFlight()) } });
 }
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -56,11 +56,11 @@
     void refuseEntry (Timestamp now, const std::string& key, const Error& error);
 
     /** Logs an implausible value that was replaced by a cautious interpretation. */
-    void doubtValue (Timestamp now, std::string_view key, std::string_view place,
-                     std::string_view value);
+    void reportImplausibleValue (Timestamp now, std::string_view key, std::string_view place,
+                                 std::string_view value);
 
     /** Called when another node runs a later version, so that the source is read again. */
-    std::function<void()> onBehind;
+    std::function<void()> onLaterVersion;
 
     /** Starts or stops reading the source. The position is the latest known, from any origin. */
     std::function<void (bool reading, mesh::SourcePosition position)> setReading;
@@ -68,13 +68,13 @@
 
     /** Called to list the source once, without reading it regularly, in order to find other nodes.
      */
-    std::function<void()> onLook;
+    std::function<void()> onPeerListingRequested;
 
     /** Called when another node reports a later position while this node reads the source. */
-    std::function<void (mesh::SourcePosition)> onOvertaken;
+    std::function<void (mesh::SourcePosition)> onLaterPosition;
 
     /** Sets the minimum interval between this node's calls to a failing source. */
-    std::function<void (Milliseconds)> setSourceTryInterval;
+    std::function<void (Milliseconds)> setSourceMinRetryInterval;
 
     /** Rereads the settings file and applies the settings that can change at runtime. */
     void reload (std::string_view cause);
--- a/src/sidecar/sidecar_metrics.cc
+++ b/src/sidecar/sidecar_metrics.cc
@@ -63,7 +63,7 @@
     }
 
     /** Adds the requests of each tenant by outcome. */
-    void tenants (const std::vector<mesh::TenantUse>& requests)
+    void tenants (const std::vector<mesh::TenantRequestCounts>& requests)
     {
         MetricFamily family{ "copperlead_tenant_requests_total",
                              "Requests of tenants with a quota, by what their quota said",
@@ -125,10 +125,10 @@
                     static_cast<double> (figures.connections));
     families.counter ("copperlead_requests_beside_others_total",
                       "Requests begun while earlier ones of their connection were unanswered",
-                      figures.clients.besideOthers);
+                      figures.clients.startedConcurrently);
     families.histogram ("copperlead_answer_held_milliseconds",
                         "Ready answers that waited for earlier ones of their connection",
-                        figures.clients.answerHeld);
+                        figures.clients.headOfLineDelay);
     families.gauge ("copperlead_retry_budget_left", "Retries left, of the poorest service",
                     figures.retryBudgetLeft);
     families.histogram ("copperlead_request_milliseconds",
@@ -146,7 +146,7 @@
     families.gauge ("copperlead_instance_cold_milliseconds",
                     "For how long it stays cold and gets few requests", figures.coldMs);
     families.counter ("copperlead_instance_cold_questions_total",
-                      "Times that it was asked whether it is cold", figures.last.coldQuestions);
+                      "Times that it was asked whether it is cold", figures.last.coldProbes);
     families.counters ("copperlead_instance_runs_begun_total",
                        "Runs by what their answers were expected to be", "timeliness",
                        mesh::timelinessNames, figures.begun);
@@ -170,7 +170,7 @@
                       figures.last.crashes);
     families.counter ("copperlead_instance_crash_questions_total",
                       "Times that it was asked, after a lost answer, whether it lives",
-                      figures.last.crashQuestions);
+                      figures.last.crashProbes);
     families.gauge ("copperlead_crash_suspects", "Requests known that ran in a crash",
                     static_cast<double> (figures.crashSuspects));
     families.counter ("copperlead_crash_suspects_held_total",
@@ -180,9 +180,9 @@
     families.counter ("copperlead_crash_suspects_refused_total",
                       "Arrivals of held requests, answered at once", guard.refused);
     families.counter ("copperlead_crash_news_sent_total", "Datagrams about suspects to others",
-                      guard.told);
+                      guard.updatesSent);
     families.counter ("copperlead_crash_news_taken_total", "Datagrams about suspects of others",
-                      guard.heard);
+                      guard.updatesReceived);
 }
 
 void addSearches (Families& families, const SidecarFigures& figures)
@@ -212,7 +212,7 @@
 void addBodies (Families& families, const SidecarFigures& figures)
 {
     families.counter ("copperlead_bodies_called_total",
-                      "Large bodies that other nodes were to send", figures.bodies.called);
+                      "Large bodies that other nodes were to send", figures.bodies.granted);
     families.counter ("copperlead_bodies_refused_total",
                       "Large bodies that couldn't arrive in time over this link",
                       figures.bodies.refused);
@@ -303,14 +303,14 @@
                         *figures.msSinceZoneUpToDate);
 
     families.counter ("copperlead_reader_beats_sent_total", "Datagrams to other nodes",
-                      figures.relay.beatsSent);
+                      figures.relay.heartbeatsSent);
     families.counter ("copperlead_reader_beats_heard_total", "Datagrams of readers",
-                      figures.relay.beatsHeard);
+                      figures.relay.heartbeatsReceived);
     families.counter ("copperlead_changes_pulled_total", "Requests for changes to a reader",
                       figures.relay.pulls);
     families.counter ("copperlead_changes_pulled_elsewhere_total",
                       "Requests for changes to a node of another zone",
-                      figures.relay.pullsElsewhere);
+                      figures.relay.pullsFromOtherZones);
     families.counter ("copperlead_changes_pull_failures_total", "Those that failed",
                       figures.relay.failedPulls);
     families.counter ("copperlead_reader_role_changes_total", "Begins and ends of reading",
@@ -319,7 +319,7 @@
                       "Subscriptions to a reader's beats, this node's and those passed on",
                       figures.relay.subscriptionsSent);
     families.counter ("copperlead_subscriptions_taken_total", "Subscriptions of other nodes",
-                      figures.relay.subscriptionsTaken);
+                      figures.relay.subscriptionsReceived);
     families.counter ("copperlead_log_lines_left_out_total", "Lines beyond their budget",
                       figures.omittedLogLines);
 }
--- a/src/sidecar/sidecar_metrics.h
+++ b/src/sidecar/sidecar_metrics.h
@@ -35,7 +35,8 @@
     std::uint64_t crashSuspects = 0;
     mesh::TenantQuotaCounters quotas;
     mesh::QuotaKeeperCounters keeper;
-    std::vector<mesh::TenantUse> tenants; /**< The busiest, and a nameless sum of the others. */
+    std::vector<mesh::TenantRequestCounts>
+        tenants; /**< The busiest, and a nameless sum of the others. */
     LinkCounters link;
     std::uint64_t linkWaiting = 0;
     std::array<std::uint64_t, std::size (mesh::timelinessNames)> begun{}; /**< Runs, by class. */
--- a/src/sidecar/sidecar_servers.cc
+++ b/src/sidecar/sidecar_servers.cc
@@ -51,10 +51,10 @@
     };
 
     auto forClients = serverSettings (clientLimitsNow, &Sidecar::handleRequest);
-    forClients.mayRunBeside = [weak] (const RequestHead& head)
+    forClients.canRunConcurrently = [weak] (const RequestHead& head)
     {
         const auto self = weak.lock();
-        return self != nullptr && self->firstHop->mayRunBeside (head);
+        return self != nullptr && self->firstHop->canRunConcurrently (head);
     };
     auto forNodes = serverSettings (hopLimits, &Sidecar::answerPeer);
     forNodes.bodyGate = [weak] (const ExchangePointer& exchange)
@@ -79,8 +79,8 @@
 {
     const bool known = exchange->head.target == settings.readinessPath;
     const int status = ! known ? 404 : ready() ? 200 : 503;
-    exchange->respond (ownAnswer (status, status == 200 ? "ready" : "not ready", {},
-                                  exchange->mustClose(), exchange->isHead()),
+    exchange->respond (localAnswer (status, status == 200 ? "ready" : "not ready", {},
+                                    exchange->mustClose(), exchange->isHead()),
                        exchange->mustClose());
 }
 
@@ -107,11 +107,11 @@
     shown.crashSuspects = crashGuard->suspects();
     shown.quotas = firstHop->tenantQuotas().counters();
     shown.keeper = firstHop->tenantQuotas().keeperCounters();
-    shown.tenants = firstHop->tenantQuotas().uses (maxTenantsShown);
+    shown.tenants = firstHop->tenantQuotas().busiestTenants (maxTenantsShown);
     shown.link = link->counters();
     shown.linkWaiting = link->waiting();
     shown.bodiesWaiting = bodies->waiting();
-    shown.begun = lastHop->admission().begun();
+    shown.begun = lastHop->admission().startedRuns();
     shown.configurationVersion = state.configurations().version();
     shown.sourcePosition = state.reached();
     shown.sourceCalls = source.calls;
--- a/src/sidecar/sidecar_settings.cc
+++ b/src/sidecar/sidecar_settings.cc
@@ -189,7 +189,7 @@
     settings.credentials.revokeTime = mesh::fromMillisecondCount (revokeMs);
     BOOST_LEAF_AUTO (window, values.number ("quota-window-s", 1, 3600, 5));
     settings.quotas.window = mesh::fromSeconds (window);
-    BOOST_LEAF_ASSIGN (settings.quotas.over, values.number ("quota-over", 0, 10, 0.25));
+    BOOST_LEAF_ASSIGN (settings.quotas.excessShare, values.number ("quota-over", 0, 10, 0.25));
     BOOST_LEAF_ASSIGN (settings.quotas.slack, values.number ("quota-slack", 0, 1e6, 20));
     BOOST_LEAF_ASSIGN (settings.zoneRegions, readZoneRegions (values));
     return Done{};
@@ -208,15 +208,15 @@
 
 Result<Done> readCrashLimits (const Values& values, mesh::CrashLimits& limits)
 {
-    BOOST_LEAF_AUTO (limit, values.number ("crash-limit", 0, 8, limits.most));
-    BOOST_LEAF_AUTO (
-        hold, values.number ("crash-hold-s", 1, 86'400, mesh::toMilliseconds (limits.hold) / 1000));
+    BOOST_LEAF_AUTO (limit, values.number ("crash-limit", 0, 8, limits.crashesUntilHold));
+    BOOST_LEAF_AUTO (hold, values.number ("crash-hold-s", 1, 86'400,
+                                          mesh::toMilliseconds (limits.firstHold) / 1000));
 
     if (std::floor (limit) != limit)
         return bad ("crash-limit", values.text ("crash-limit"), "a whole number from 0 to 8");
 
-    limits.most = static_cast<int> (limit);
-    limits.hold = mesh::fromSeconds (hold);
+    limits.crashesUntilHold = static_cast<int> (limit);
+    limits.firstHold = mesh::fromSeconds (hold);
     return Done{};
 }
 
@@ -231,7 +231,7 @@
     BOOST_LEAF_AUTO (changes, values.number ("changes-within-ms", 100, 600'000, 800));
     BOOST_LEAF_AUTO (drain, values.number ("drain-within-ms", 100, 600'000, 800));
     BOOST_LEAF_AUTO (evacuate, values.number ("evacuate-within-ms", 100, 600'000, 5000));
-    BOOST_LEAF_ASSIGN (settings.coldBounds.over, values.number ("cold-over", 1, 100, 1));
+    BOOST_LEAF_ASSIGN (settings.coldBounds.overloadFactor, values.number ("cold-over", 1, 100, 1));
     BOOST_LEAF_ASSIGN (settings.coldBounds.slack, values.number ("cold-slack", 0, 1e6, 0));
     settings.watchInterval = watchIntervalFor (std::min ({ changes, drain, evacuate }));
     settings.grace = mesh::fromSeconds (grace);
--- a/src/sidecar/sidecar_stop.cc
+++ b/src/sidecar/sidecar_stop.cc
@@ -26,8 +26,8 @@
     const auto at = now();
     stopPlan.emplace (at, settings.grace);
     onStopped = std::move (ended);
-    firstHop->setClosing (stopPlan->answersBy());
-    lastHop->setEnd (stopPlan->answersBy());
+    firstHop->setClosing (stopPlan->answerDeadline());
+    lastHop->setRunDeadline (stopPlan->answerDeadline());
     outbound->drain();
 
     if (relay != nullptr)
@@ -51,8 +51,8 @@
         outbound->closeIdle();
     }
 
-    if (step.stopTaking)
-        lastHop->stopTaking();
+    if (step.stopAccepting)
+        lastHop->stopAccepting();
 
     if (step.end)
     {
--- a/src/sidecar/source/relay.cc
+++ b/src/sidecar/source/relay.cc
@@ -34,7 +34,7 @@
     ClientSettings settings;
     settings.connectTimeout = Milliseconds (300);
     settings.idleTime = Milliseconds (10'000);
-    settings.mostIdle = 1;
+    settings.maxIdlePerTarget = 1;
     return settings;
 }
 
@@ -46,7 +46,7 @@
 mesh::ReaderRoleSettings roleSettings()
 {
     mesh::ReaderRoleSettings settings;
-    settings.mayLook = true;
+    settings.canListPeers = true;
     return settings;
 }
 
@@ -67,7 +67,7 @@
 
 Relay::~Relay()
 {
-    client->dropAllIdle();
+    client->closeAllIdleConnections();
 
     if (channel != nullptr)
         channel->Close();
@@ -89,17 +89,17 @@
 
 void Relay::onDatagram (const SocketAddress& from, std::string_view datagram)
 {
-    if (const auto heartbeat = mesh::decodeReaderBeat (datagram))
+    if (const auto heartbeat = mesh::decodeReaderHeartbeat (datagram))
         return onHeartbeat (from.ip, *heartbeat);
 
     if (const auto subscription = mesh::decodeSubscription (datagram))
         onSubscription (from.ip, *subscription);
 }
 
-void Relay::onHeartbeat (const std::string& ip, const mesh::ReaderBeat& heartbeat)
+void Relay::onHeartbeat (const std::string& ip, const mesh::ReaderHeartbeat& heartbeat)
 {
     const auto now = SteadyClock().Now();
-    ++counts.beatsHeard;
+    ++counts.heartbeatsReceived;
     const bool otherZone = heartbeat.zone != settings.zone;
 
     if (! otherZone && heartbeat.reads)
@@ -127,7 +127,7 @@
     const bool otherZone = ! isZonePeer (ip);
     pullInProgress = true;
     ++counts.pulls;
-    counts.pullsElsewhere += otherZone ? 1 : 0;
+    counts.pullsFromOtherZones += otherZone ? 1 : 0;
     const auto version = std::exchange (needsFullUpdate, false) ? 0 : ownVersion;
     const auto target = std::string (changesPath) + std::to_string (ownPosition.epoch) + "/" +
                         std::to_string (ownPosition.revision) + "/" + std::to_string (version);
@@ -163,7 +163,7 @@
     }
 
     const auto now = SteadyClock().Now();
-    const bool wasBehind = role.seenLaterFor (now) >= catchUpTime;
+    const bool wasBehind = role.laterVersionSeenFor (now) >= catchUpTime;
     hooks.take (now, std::move (update));
 
     if (wasBehind && role.reading())
@@ -203,7 +203,7 @@
     const auto now = SteadyClock().Now();
     role.sawVersion (now, version);
 
-    if (role.seenLaterFor (now) >= catchUpTime)
+    if (role.laterVersionSeenFor (now) >= catchUpTime)
         pullChanges (ip);
 }
 
@@ -264,9 +264,9 @@
 void Relay::repeatOffer (Timestamp until)
 {
     const auto now = SteadyClock().Now();
-    const bool hasReader = role.reading() || role.satisfiedAt() != Timestamp{};
+    const bool hasReader = role.reading() || role.lastUpToDate() != Timestamp{};
 
-    if (settings.strength < mesh::topStrength || hasReader || resigned || now > until)
+    if (settings.strength < mesh::maxMachineStrength || hasReader || resigned || now > until)
         return;
 
     if (ownVersion > 0)
@@ -297,22 +297,22 @@
 
 std::string Relay::encodeHeartbeat (bool healthy, bool reads) const
 {
-    return mesh::encode (mesh::ReaderBeat{ settings.node, settings.zone, rankOf (settings),
-                                           ownPosition, ownVersion, healthy, reads });
+    return mesh::encode (mesh::ReaderHeartbeat{ settings.node, settings.zone, rankOf (settings),
+                                                ownPosition, ownVersion, healthy, reads });
 }
 
 void Relay::sendHeartbeat (const std::string& ip, const std::string& bytes)
 {
-    ++counts.beatsSent;
+    ++counts.heartbeatsSent;
     channel->Send ({ ip, settings.address.port }, bytes);
 }
 
 void Relay::updateRole (Timestamp now)
 {
     const bool reading = role.decide (now, hooks.sourceSound (now));
-    hooks.setTryInterval (role.tryInterval (now));
+    hooks.setMinRetryInterval (role.minRetryInterval (now));
 
-    if (role.takeLook())
+    if (role.takePeerListingRequest())
         hooks.look();
 
     if (reading != wasReading)
@@ -338,9 +338,10 @@
 
     const bool healthy = hooks.sourceSound (now);
     // A loss of the source is reported at once; repetitions only help nodes that have just started.
-    const auto interval = healthy           ? mesh::ReaderRoleSettings{}.beatInterval
-                          : reportedHealthy ? Milliseconds (0)
-                                            : std::max (unhealthyInterval, role.tryInterval (now));
+    const auto interval = healthy ? mesh::ReaderRoleSettings{}.heartbeatInterval
+                          : reportedHealthy
+                              ? Milliseconds (0)
+                              : std::max (unhealthyInterval, role.minRetryInterval (now));
 
     if (now - lastHeartbeatAt >= interval)
         sendHeartbeats (healthy);
--- a/src/sidecar/source/relay.h
+++ b/src/sidecar/source/relay.h
@@ -41,25 +41,26 @@
 /** Functions of the node that the relay calls. */
 struct RelayHooks
 {
-    std::function<void (Timestamp, mesh::MeshUpdate)> take;
+    std::function<void (Timestamp, mesh::MeshUpdate)> applyUpdate;
     std::function<void (bool reading)> setReading;
     /** Lists the source once more, to find peers. */
-    std::function<void()> look;
+    std::function<void()> refreshListing;
 
     /** Called if this node reads and a peer has reported a later state than the source. */
-    std::function<void()> overtaken;
-    std::function<bool (Timestamp)> sourceSound;
+    std::function<void()> onPeerAheadOfSource;
+    std::function<bool (Timestamp)> isSourceReachable;
     /** Sets the interval of calls to a failing source. */
-    std::function<void (Milliseconds)> setTryInterval;
+    std::function<void (Milliseconds)> setMinRetryInterval;
 };
 
 /** Counters since the process started. */
 struct RelayCounters
 {
-    std::uint64_t beatsSent = 0, beatsHeard = 0, pulls = 0, failedPulls = 0, roleChanges = 0;
+    std::uint64_t heartbeatsSent = 0, heartbeatsReceived = 0, pulls = 0, failedPulls = 0,
+                  roleChanges = 0;
     /** Pulls from a node of another zone. */
-    std::uint64_t pullsElsewhere = 0;
-    std::uint64_t subscriptionsSent = 0, subscriptionsTaken = 0;
+    std::uint64_t pullsFromOtherZones = 0;
+    std::uint64_t subscriptionsSent = 0, subscriptionsReceived = 0;
 };
 
 class Relay : public std::enable_shared_from_this<Relay>
@@ -76,13 +77,13 @@
     void setPeers (Timestamp now, mesh::PeerAddresses peersToUse, bool isListed);
 
     /** Reports the source position that this node has reached and the version that it runs. */
-    void reached (Timestamp now, mesh::SourcePosition at, std::uint64_t version);
+    void positionReached (Timestamp now, mesh::SourcePosition at, std::uint64_t version);
 
     /** Reports that another node's answer showed a later version. The changes are requested from
         that node, which takes a few kilobytes, whereas the source would send the whole
         configuration.
     */
-    void sawVersion (std::uint64_t version, const std::string& ip);
+    void recordVersion (std::uint64_t version, const std::string& ip);
 
     /** Reports that the source has sent changes. A reader announces them to its zone at once. So
         does a strong node that has just started, since others that start with it wait for that.
@@ -96,10 +97,10 @@
     void resign();
 
     /** Requests the whole configuration next, since the node can't apply differences. */
-    void wantWhole() { needsFullUpdate = true; }
+    void requestFullUpdate() { needsFullUpdate = true; }
 
     bool reading() const { return role.reading(); }
-    Timestamp upToDateAt() const { return role.satisfiedAt(); }
+    Timestamp upToDateAt() const { return role.lastUpToDate(); }
     const RelayCounters& counters() const { return counts; }
 
 private:
@@ -107,10 +108,10 @@
     void pullChanges (const std::string& ip);
     void onChangesReceived (const CallResult& result, bool otherZone);
     bool isZonePeer (const std::string& ip) const;
-    void onHeartbeat (const std::string& ip, const mesh::ReaderBeat& heartbeat);
+    void onHeartbeat (const std::string& ip, const mesh::ReaderHeartbeat& heartbeat);
     void subscribe (Timestamp now);
     void onSubscription (const std::string& from, const mesh::Subscription& subscription);
-    void send (const mesh::SubscriptionSendings& subscriptionsToSend);
+    void send (const mesh::OutgoingSubscriptions& subscriptionsToSend);
     void sendHeartbeats (bool healthy);
 
     /** Repeatedly reports to the zone what this node listed at its start. Otherwise a node that
--- a/src/sidecar/source/relay_subscriptions.cc
+++ b/src/sidecar/source/relay_subscriptions.cc
@@ -38,7 +38,7 @@
 
     const auto now = SteadyClock().Now();
     const auto& subscriber = isForwarded ? subscription.ip : from;
-    ++counts.subscriptionsTaken;
+    ++counts.subscriptionsReceived;
     send (subscriptions.take (now, subscriber, role.reading()));
 
     if (role.reading() && hooks.sourceSound (now))
@@ -49,7 +49,7 @@
         role.listed (now);
 }
 
-void Relay::send (const mesh::SubscriptionSendings& subscriptionsToSend)
+void Relay::send (const mesh::OutgoingSubscriptions& subscriptionsToSend)
 {
     for (const auto& sending : subscriptionsToSend)
     {
--- a/src/sidecar/source/source_reader.h
+++ b/src/sidecar/source/source_reader.h
@@ -51,7 +51,7 @@
     {
     }
 
-    ~SourceReader() { client->dropAllIdle(); }
+    ~SourceReader() { client->closeAllIdleConnections(); }
 
     void start() { sendOrSchedule(); }
 
@@ -73,19 +73,19 @@
     }
 
     /** Sets the minimum time between calls to a failing source, since other nodes call it too. */
-    void setTryInterval (Milliseconds interval) { follower.setTryInterval (interval); }
+    void setMinRetryInterval (Milliseconds interval) { follower.setMinRetryInterval (interval); }
 
     /** Reports that another node runs a later version than this one. */
-    void hurry()
+    void expediteWatch()
     {
-        if (follower.hurry (SteadyClock().Now()))
+        if (follower.expediteWatch (SteadyClock().Now()))
             cancelAndRequest();
     }
 
     /** Reports that a position was reached by other means. */
-    void overtaken (mesh::SourcePosition position)
+    void positionReceived (mesh::SourcePosition position)
     {
-        if (follower.overtaken (SteadyClock().Now(), position))
+        if (follower.positionReceived (SteadyClock().Now(), position))
             cancelAndRequest();
     }
 
@@ -171,11 +171,11 @@
         const auto reply = answer.reply;
         const bool wasFailing = follower.failing();
         const auto lastSuccess = follower.lastSuccess();
-        const auto update = follower.answered (now, std::move (answer));
+        const auto update = follower.handleAnswer (now, std::move (answer));
         logChange (now, wasFailing, lastSuccess, result, reply);
 
         if (update)
-            handleUpdate (now, *update, follower.sound (now));
+            handleUpdate (now, *update, follower.canTrustAbsence (now));
 
         reactor->RunAt (now,
                         [weak = this->weak_from_this()]
--- a/tests/mesh/admission_queue_test.cc
+++ b/tests/mesh/admission_queue_test.cc
@@ -206,8 +206,8 @@
     }
 
     EXPECT_EQ (startOrder, (Ids{ 5, 4, 3, 2 }));
-    EXPECT_EQ (queue.begun()[static_cast<std::size_t> (Timeliness::inTime)], 3U);
-    EXPECT_EQ (queue.begun()[static_cast<std::size_t> (Timeliness::late)], 2U);
+    EXPECT_EQ (queue.startedRuns()[static_cast<std::size_t> (Timeliness::inTime)], 3U);
+    EXPECT_EQ (queue.startedRuns()[static_cast<std::size_t> (Timeliness::late)], 2U);
 }
 
 TEST (AdmissionQueue, ImmediateStartsAreCountedByTimeliness)
@@ -217,7 +217,7 @@
     EXPECT_EQ (queue.offer (at (0), request (1, 1, 400, 2000)), AdmissionDecision::run);
     EXPECT_EQ (queue.offer (at (0), request (3, 1, -300, 2000)), AdmissionDecision::run);
 
-    for (const auto count : queue.begun())
+    for (const auto count : queue.startedRuns())
         EXPECT_EQ (count, 1U);
 }
 
@@ -328,8 +328,8 @@
 {
     AdmissionQueue queue;
     queue.setLimit (10);
-    queue.startWindow().setMost (2);
-    queue.startWindow().bindUntil (at (10'000));
+    queue.startWindow().setLimit (2);
+    queue.startWindow().enforceUntil (at (10'000));
     fill (queue, 2);
     return queue;
 }
@@ -339,9 +339,9 @@
     auto queue = coldQueue();
     EXPECT_EQ (queue.offer (at (0), request (3, 0, 2000, 5000)), AdmissionDecision::wait);
     EXPECT_EQ (queue.next (at (500)), 0U);
-    EXPECT_EQ (queue.nextBoundedStart (at (500)), at (1010));
+    EXPECT_EQ (queue.nextRateLimitedStart (at (500)), at (1010));
     EXPECT_EQ (queue.next (at (1010)), 3U);
-    EXPECT_EQ (queue.nextBoundedStart (at (1010)), Timestamp::max()) << "nothing waits";
+    EXPECT_EQ (queue.nextRateLimitedStart (at (1010)), Timestamp::max()) << "nothing waits";
 }
 
 TEST (AdmissionQueue, ARequestThatTheStartLimitMakesTooLateIsRefusedAtOnce)
--- a/tests/mesh/call_share_test.cc
+++ b/tests/mesh/call_share_test.cc
@@ -48,33 +48,33 @@
 TEST (CallShare, AllRequestsCountAsCallsWhileLittleIsKnown)
 {
     NodeBesideInstance node (0.6);
-    EXPECT_EQ (node.share.of ("clients"), 1);
+    EXPECT_EQ (node.share.shareOfCalls ("clients"), 1);
     node.simulate (5);
-    EXPECT_EQ (node.share.of ("clients"), 1);
+    EXPECT_EQ (node.share.shareOfCalls ("clients"), 1);
 }
 
 TEST (CallShare, ClientsAreDistinguishedFromCallsWithinSeconds)
 {
     NodeBesideInstance node (0.6);
     node.simulate (60);
-    EXPECT_LT (node.share.of ("clients"), 0.5);
-    EXPECT_EQ (node.share.of ("calls"), 1);
+    EXPECT_LT (node.share.shareOfCalls ("clients"), 0.5);
+    EXPECT_EQ (node.share.shareOfCalls ("calls"), 1);
 }
 
 TEST (CallShare, ARouteUsedByBothGetsTheShareOfItsCalls)
 {
     NodeBesideInstance node (0.6);
     node.simulate (4000);
-    EXPECT_LT (node.share.of ("clients"), 0.15);
-    EXPECT_NEAR (node.share.of ("both"), 0.5, 0.15);
-    EXPECT_EQ (node.share.of ("calls"), 1);
+    EXPECT_LT (node.share.shareOfCalls ("clients"), 0.15);
+    EXPECT_NEAR (node.share.shareOfCalls ("both"), 0.5, 0.15);
+    EXPECT_EQ (node.share.shareOfCalls ("calls"), 1);
 }
 
 TEST (CallShare, AllRequestsCountAsCallsIfTheInstanceIsNeverIdle)
 {
     NodeBesideInstance node (0);
     node.simulate (4000);
-    EXPECT_EQ (node.share.of ("clients"), 1);
+    EXPECT_EQ (node.share.shareOfCalls ("clients"), 1);
 }
 
 } // namespace
--- a/tests/mesh/choice_test.cc
+++ b/tests/mesh/choice_test.cc
@@ -63,7 +63,7 @@
                 budget.countRequest (now);
                 // Every request fails at its first attempt and asks for a retry.
                 spent[static_cast<std::size_t> (second)] +=
-                    budget.take (now, nodes, { true, 0 }) ? 1 : 0;
+                    budget.trySpend (now, nodes, { true, 0 }) ? 1 : 0;
             }
         }
     }
@@ -107,8 +107,8 @@
 
         for (const auto* id : { "near", "far" })
         {
-            chooser.answered (id, route, 50, 2000);
-            chooser.reported (at (0), id, { 0, 50 });
+            chooser.recordAnswer (id, route, 50, 2000);
+            chooser.recordReport (at (0), id, { 0, 50 });
         }
     }
 
@@ -124,19 +124,19 @@
 
 TEST_F (Choosing, CrossesZonesIfQueueingCostsMoreThanTheCrossing)
 {
-    chooser.reported (at (0), "near", { 6, 50 });
+    chooser.recordReport (at (0), "near", { 6, 50 });
     EXPECT_EQ (choices (chooser, *directory.snapshot(), route)["far"], 10);
 }
 
 TEST_F (Choosing, LargeBodiesStayInTheZoneWhereSmallOnesCross)
 {
-    chooser.reported (at (0), "near", { 6, 50 });
+    chooser.recordReport (at (0), "near", { 6, 50 });
     EXPECT_EQ (choices (chooser, *directory.snapshot(), route, 60'000)["near"], 10);
 }
 
 TEST_F (Choosing, AReportedLoadDecays)
 {
-    chooser.reported (at (0), "near", { 6, 50 });
+    chooser.recordReport (at (0), "near", { 6, 50 });
     Choice choice;
     ASSERT_TRUE (
         chooser.choose (at (4000), *directory.snapshot(), { &route, "desk", 0, {} }, choice));
@@ -147,8 +147,8 @@
 {
     for (int answers = 0; answers < 30; ++answers)
     {
-        chooser.answered ("near", route, 400, 2000);
-        chooser.answered ("far", route, 50, 2000);
+        chooser.recordAnswer ("near", route, 400, 2000);
+        chooser.recordAnswer ("far", route, 50, 2000);
     }
 
     EXPECT_EQ (choices (chooser, *directory.snapshot(), route)["far"], 10);
@@ -156,7 +156,7 @@
 
 TEST_F (Choosing, AvoidedTriedAndLeavingInstancesAreNotChosen)
 {
-    chooser.shun (at (0), "near", Milliseconds (500));
+    chooser.avoidInstance (at (0), "near", Milliseconds (500));
     Choice choice;
     EXPECT_FALSE (
         chooser.choose (at (499), *directory.snapshot(), { &route, "desk", 0, { "far" } }, choice));
@@ -169,23 +169,23 @@
 
 TEST_F (Choosing, ARestartClearsTheRecordOfAnInstance)
 {
-    directory.put (at (0), bornAt (makeInstance ("near", "z1", 1), 1000), revision (5));
-    chooser.forgetAllBut (*directory.snapshot());
-    chooser.shun (at (0), "near", Milliseconds (5000));
-    chooser.forgetAllBut (*directory.snapshot());
+    directory.put (at (0), withStartTime (makeInstance ("near", "z1", 1), 1000), revision (5));
+    chooser.forgetUnlisted (*directory.snapshot());
+    chooser.avoidInstance (at (0), "near", Milliseconds (5000));
+    chooser.forgetUnlisted (*directory.snapshot());
     EXPECT_FALSE (chooser.mayPrefer (at (1), "near"));
-    directory.put (at (1), bornAt (makeInstance ("near", "z1", 1), 2000), revision (6));
-    chooser.forgetAllBut (*directory.snapshot());
+    directory.put (at (1), withStartTime (makeInstance ("near", "z1", 1), 2000), revision (6));
+    chooser.forgetUnlisted (*directory.snapshot());
     EXPECT_TRUE (chooser.mayPrefer (at (1), "near"));
 }
 
 TEST_F (Choosing, RunsThatEndAfterARestartAreStillCounted)
 {
-    directory.put (at (0), bornAt (makeInstance ("near", "z1", 1), 1000), revision (5));
-    chooser.forgetAllBut (*directory.snapshot());
+    directory.put (at (0), withStartTime (makeInstance ("near", "z1", 1), 1000), revision (5));
+    chooser.forgetUnlisted (*directory.snapshot());
     chooser.started ("near");
-    directory.put (at (1), bornAt (makeInstance ("near", "z1", 1), 2000), revision (6));
-    chooser.forgetAllBut (*directory.snapshot());
+    directory.put (at (1), withStartTime (makeInstance ("near", "z1", 1), 2000), revision (6));
+    chooser.forgetUnlisted (*directory.snapshot());
     chooser.ended ("near");
     EXPECT_EQ (choices (chooser, *directory.snapshot(), route)["near"], 10);
 }
@@ -263,7 +263,7 @@
     for (int n = 2; n < 180 - 18; n += 6)
         chooser.suspect (at (0), "i" + std::to_string (n), Milliseconds (1000));
 
-    chooser.shun (at (0), "i164", Milliseconds (1000));
+    chooser.avoidInstance (at (0), "i164", Milliseconds (1000));
     directory.remove (at (0), "i170", revision (900), false);
 
     for (int draws = 0; draws < 100; ++draws)
@@ -298,7 +298,7 @@
 TEST_F (Choosing, ALoadReportClearsASuspicion)
 {
     chooser.suspect (at (0), "near", Milliseconds (500));
-    chooser.reported (at (0), "near", { 0, 50 });
+    chooser.recordReport (at (0), "near", { 0, 50 });
     EXPECT_EQ (choices (chooser, *directory.snapshot(), route)["near"], 10);
 }
 
