--- a/tests/mesh/cold_start_test.cc
+++ b/tests/mesh/cold_start_test.cc
@@ -22,15 +22,15 @@
 
 void answer (ColdStart& cold, int time, std::optional<Milliseconds> remaining)
 {
-    cold.asked (at (time));
-    cold.answered (at (time + 1), remaining);
+    cold.recordQuery (at (time));
+    cold.recordAnswer (at (time + 1), remaining);
 }
 
 TEST (ColdStart, InstancesOfAServiceWithoutAColdTimeAreNeverCold)
 {
     ColdStart cold;
     cold.presumeCold (at (0));
-    cold.listed (at (0), Milliseconds (2000));
+    cold.recordEntry (at (0), Milliseconds (2000));
     EXPECT_FALSE (cold.isCold (at (0)));
     EXPECT_FALSE (cold.wantsAnswer (at (0)));
 }
@@ -41,7 +41,7 @@
     EXPECT_TRUE (cold.isCold (at (2999)));
     EXPECT_FALSE (cold.isCold (at (3000)));
     EXPECT_TRUE (cold.wantsAnswer (at (0)));
-    cold.asked (at (0));
+    cold.recordQuery (at (0));
     EXPECT_FALSE (cold.wantsAnswer (at (200))) << "the answer may still arrive";
     EXPECT_TRUE (cold.wantsAnswer (at (250)));
 }
@@ -69,9 +69,9 @@
 TEST (ColdStart, AnAnswerToAQueryFromBeforeTheResetIsIgnored)
 {
     auto cold = justSeen();
-    cold.asked (at (10));
+    cold.recordQuery (at (10));
     cold.presumeCold (at (11));
-    cold.answered (at (12), Milliseconds (0));
+    cold.recordAnswer (at (12), Milliseconds (0));
     EXPECT_TRUE (cold.isCold (at (13)));
     EXPECT_TRUE (cold.wantsAnswer (at (13)));
 }
@@ -80,9 +80,9 @@
 {
     auto cold = justSeen();
     answer (cold, 10, Milliseconds (0));
-    cold.listed (at (5), Milliseconds (2500));
+    cold.recordEntry (at (5), Milliseconds (2500));
     EXPECT_FALSE (cold.isCold (at (20))) << "older than the answer";
-    cold.listed (at (5000), Milliseconds (2500));
+    cold.recordEntry (at (5000), Milliseconds (2500));
     EXPECT_TRUE (cold.isCold (at (5001)));
     EXPECT_TRUE (cold.wantsAnswer (at (5001)));
     answer (cold, 5002, Milliseconds (40));
@@ -94,9 +94,9 @@
 {
     ColdStart cold;
     cold.setProfile (profile);
-    cold.listed (at (5000), unreadableColdTime);
+    cold.recordEntry (at (5000), unreadableColdTime);
     EXPECT_EQ (cold.until(), at (8000));
-    cold.listed (at (6000), Milliseconds (0));
+    cold.recordEntry (at (6000), Milliseconds (0));
     EXPECT_FALSE (cold.isCold (at (6000)));
 }
 
@@ -120,17 +120,17 @@
 
     for (const auto& wanted : cases)
     {
-        EXPECT_EQ (mostColdStarts (wanted.profile, wanted.bounds), wanted.maxStarts);
-        EXPECT_EQ (unknownColdStarts (wanted.profile, wanted.bounds), wanted.assumedStarts);
+        EXPECT_EQ (maxColdStarts (wanted.profile, wanted.bounds), wanted.maxStarts);
+        EXPECT_EQ (assumedColdStarts (wanted.profile, wanted.bounds), wanted.assumedStarts);
     }
 }
 
 TEST (ColdStart, AQuarterOfASecondGetsAQuarterOfTheStartsRoundedUp)
 {
-    EXPECT_EQ (mostColdStarts (profile, { 1.5, 8 }), 26);
-    EXPECT_EQ (mostColdStartsInQuarter (profile, { 1.5, 8 }), 7);
-    EXPECT_EQ (mostColdStartsInQuarter ({ Milliseconds (3000), 0.5 }, { 1.5, 8 }), 1);
-    EXPECT_EQ (mostColdStartsInQuarter ({}, { 1.5, 8 }), 0) << "never cold";
+    EXPECT_EQ (maxColdStarts (profile, { 1.5, 8 }), 26);
+    EXPECT_EQ (maxColdStartsPerQuarterSecond (profile, { 1.5, 8 }), 7);
+    EXPECT_EQ (maxColdStartsPerQuarterSecond ({ Milliseconds (3000), 0.5 }, { 1.5, 8 }), 1);
+    EXPECT_EQ (maxColdStartsPerQuarterSecond ({}, { 1.5, 8 }), 0) << "never cold";
 }
 
 } // namespace
--- a/tests/mesh/crash_ledger_test.cc
+++ b/tests/mesh/crash_ledger_test.cc
@@ -31,7 +31,7 @@
     ASSERT_TRUE (hold);
     EXPECT_EQ (hold->crashes, 2);
     EXPECT_EQ (hold->age, Milliseconds (100));
-    EXPECT_EQ (hold->left, CrashLimits().hold - Milliseconds (100));
+    EXPECT_EQ (hold->remaining, CrashLimits().firstHold - Milliseconds (100));
 }
 
 TEST (CrashLedger, CountsACrashOnceHoweverOftenItIsReported)
@@ -47,9 +47,9 @@
     CrashLedger ledger{ CrashLimits() };
     ledger.merge (at (0), recordOfRun (culprit, 11));
     ledger.merge (at (0), recordOfRun (culprit, 12));
-    EXPECT_TRUE (ledger.knowsHead (otherBody.head));
+    EXPECT_TRUE (ledger.hasSuspectWithHead (otherBody.head));
     EXPECT_FALSE (ledger.holdOf (at (1), otherBody));
-    EXPECT_FALSE (ledger.knowsHead (otherHead.head));
+    EXPECT_FALSE (ledger.hasSuspectWithHead (otherHead.head));
 }
 
 TEST (CrashLedger, ClearsAllEarlierCrashesByAnAnswer)
@@ -72,7 +72,7 @@
     const auto cleared = one.clear (at (5), culprit);
     ASSERT_TRUE (cleared);
     EXPECT_FALSE (one.clear (at (6), culprit)) << "there is nothing new to report";
-    EXPECT_EQ (one.merge (at (7), two.worthTelling (at (7), 4).front()), SuspectChange::none);
+    EXPECT_EQ (one.merge (at (7), two.recordsToShare (at (7), 4).front()), SuspectChange::none);
     EXPECT_EQ (two.merge (at (8), *cleared), SuspectChange::cleared);
     EXPECT_FALSE (two.holdOf (at (9), culprit));
 }
@@ -125,7 +125,7 @@
         EXPECT_EQ (ledger.merge (at (0), recordOfRun (culprit, crash)), SuspectChange::none);
 
     EXPECT_FALSE (ledger.holdOf (at (1), culprit));
-    EXPECT_TRUE (ledger.worthTelling (at (1), 4).empty());
+    EXPECT_TRUE (ledger.recordsToShare (at (1), 4).empty());
 }
 
 TEST (CrashLedger, SharesOnlySuspectsOfSeveralCrashes)
@@ -134,7 +134,7 @@
     ledger.merge (at (0), recordOfRun (culprit, 11));
     ledger.merge (at (0), recordOfRun (otherHead, 11));
     ledger.merge (at (50), recordOfRun (culprit, 12));
-    const auto shared = ledger.worthTelling (at (60), 4);
+    const auto shared = ledger.recordsToShare (at (60), 4);
     ASSERT_EQ (shared.size(), 1U);
     EXPECT_EQ (shared.front().request, culprit);
     EXPECT_EQ (shared.front().age, Milliseconds (10));
@@ -278,10 +278,10 @@
 
 TEST (SuspectNews, RoundTrips)
 {
-    SuspectNews update;
+    SuspectUpdate update;
     update.records = { { culprit, { { 11, false }, { 12, true } }, Milliseconds (1234) },
                        recordOfRun (otherHead, 11) };
-    const auto read = decodeSuspectNews (encode (update));
+    const auto read = decodeSuspectUpdate (encode (update));
     ASSERT_TRUE (read);
     ASSERT_EQ (read->records.size(), 2U);
     EXPECT_EQ (read->records[0].request, culprit);
@@ -294,9 +294,9 @@
 
 TEST (SuspectNews, FitsIntoADatagramWhenFull)
 {
-    SuspectNews update;
+    SuspectUpdate update;
 
-    for (std::size_t i = 0; i < SuspectNews::mostRecords; ++i)
+    for (std::size_t i = 0; i < SuspectUpdate::maxRecords; ++i)
         update.records.push_back ({ culprit,
                                     std::vector<KnownCrash> (CrashLedger::maxCrashesPerSuspect),
                                     Milliseconds (1) });
@@ -306,13 +306,13 @@
 
 TEST (SuspectNews, RejectsTruncatedAndDamagedMessages)
 {
-    SuspectNews update;
+    SuspectUpdate update;
     update.records = { recordOfRun (culprit, 11),
                        { otherHead, { { 11, false }, { 12, true } }, {} } };
     const auto complete = encode (update);
 
     for (std::size_t size = 0; size < complete.size(); ++size)
-        EXPECT_FALSE (decodeSuspectNews (complete.substr (0, size))) << size;
+        EXPECT_FALSE (decodeSuspectUpdate (complete.substr (0, size))) << size;
 
     std::minstd_rand random (3);
 
@@ -320,12 +320,12 @@
     {
         auto bytes = complete;
         bytes[random() % bytes.size()] = static_cast<char> (random());
-        const auto read = decodeSuspectNews (bytes);
+        const auto read = decodeSuspectUpdate (bytes);
 
         if (! read)
             continue;
 
-        EXPECT_LE (read->records.size(), SuspectNews::mostRecords);
+        EXPECT_LE (read->records.size(), SuspectUpdate::maxRecords);
 
         for (const auto& record : read->records)
             EXPECT_TRUE (! record.crashes.empty() &&
--- a/tests/mesh/crash_watch_test.cc
+++ b/tests/mesh/crash_watch_test.cc
@@ -15,22 +15,22 @@
 CrashWatch watchWithLostAnswer()
 {
     CrashWatch watch (7);
-    watch.unanswered (at (40), at (0), first);
+    watch.recordLostAnswer (at (40), at (0), first);
     return watch;
 }
 
 TEST (CrashWatch, ALostAnswerAloneIsNoCrash)
 {
     auto watch = watchWithLostAnswer();
-    EXPECT_TRUE (watch.wondering());
+    EXPECT_TRUE (watch.hasUnexplainedRuns());
     EXPECT_FALSE (watch.takeReport());
 }
 
 TEST (CrashWatch, ReportsAllRunsOfAnInstanceThatIsGone)
 {
     auto watch = watchWithLostAnswer();
-    watch.unanswered (at (41), at (10), second);
-    watch.gone (at (50));
+    watch.recordLostAnswer (at (41), at (10), second);
+    watch.instanceGone (at (50));
     const auto report = watch.takeReport();
     ASSERT_TRUE (report);
     EXPECT_EQ (report->requests, (std::vector{ first, second }));
@@ -40,26 +40,26 @@
 TEST (CrashWatch, AnAnswerToALaterRequestShowsThatTheInstanceIsAlive)
 {
     auto watch = watchWithLostAnswer();
-    watch.answered (at (60), at (41));
-    watch.gone (at (500));
+    watch.recordAnswer (at (60), at (41));
+    watch.instanceGone (at (500));
     EXPECT_FALSE (watch.takeReport());
 }
 
 TEST (CrashWatch, AnAnswerToAnEarlierRequestProvesNothing)
 {
     auto watch = watchWithLostAnswer();
-    watch.answered (at (60), at (39));
-    watch.gone (at (50));
+    watch.recordAnswer (at (60), at (39));
+    watch.instanceGone (at (50));
     EXPECT_TRUE (watch.takeReport());
 }
 
 TEST (CrashWatch, RunsThatEndAfterTheDetectionBelongToTheSameCrash)
 {
     auto watch = watchWithLostAnswer();
-    watch.gone (at (50));
+    watch.instanceGone (at (50));
     const auto firstReport = watch.takeReport();
-    watch.unanswered (at (51), at (10), second);
-    watch.gone (at (60));
+    watch.recordLostAnswer (at (51), at (10), second);
+    watch.instanceGone (at (60));
     const auto laterReport = watch.takeReport();
     ASSERT_TRUE (firstReport && laterReport);
     EXPECT_EQ (firstReport->crash, laterReport->crash);
@@ -69,11 +69,11 @@
 TEST (CrashWatch, TheNextCrashHasAnotherId)
 {
     auto watch = watchWithLostAnswer();
-    watch.gone (at (50));
+    watch.instanceGone (at (50));
     const auto firstReport = watch.takeReport();
-    watch.restarted (at (2000));
-    watch.unanswered (at (2050), at (2010), first);
-    watch.gone (at (2060));
+    watch.instanceRestarted (at (2000));
+    watch.recordLostAnswer (at (2050), at (2010), first);
+    watch.instanceGone (at (2060));
     const auto nextReport = watch.takeReport();
     ASSERT_TRUE (firstReport && nextReport);
     EXPECT_NE (firstReport->crash, nextReport->crash);
@@ -82,27 +82,27 @@
 TEST (CrashWatch, IgnoresRunsThatBeganAtAFormerIncarnation)
 {
     auto watch = watchWithLostAnswer();
-    watch.gone (at (50));
+    watch.instanceGone (at (50));
     watch.takeReport();
-    watch.restarted (at (2000));
-    watch.unanswered (at (2001), at (30), second);
-    watch.gone (at (3000));
+    watch.instanceRestarted (at (2000));
+    watch.recordLostAnswer (at (2001), at (30), second);
+    watch.instanceGone (at (3000));
     EXPECT_FALSE (watch.takeReport());
 }
 
 TEST (CrashWatch, AnyAnswerLongAfterALostOneShowsThatTheInstanceIsAlive)
 {
     auto watch = watchWithLostAnswer();
-    watch.answered (at (41) + CrashWatch::maxHandlingDelay, at (10));
-    watch.gone (at (500));
+    watch.recordAnswer (at (41) + CrashWatch::maxHandlingDelay, at (10));
+    watch.instanceGone (at (500));
     EXPECT_FALSE (watch.takeReport());
 }
 
 TEST (CrashWatch, DoesNotReportRunsThatEndedLongBefore)
 {
     auto watch = watchWithLostAnswer();
-    watch.unanswered (at (700), at (20), second);
-    watch.gone (at (710));
+    watch.recordLostAnswer (at (700), at (20), second);
+    watch.instanceGone (at (710));
     const auto report = watch.takeReport();
     ASSERT_TRUE (report);
     EXPECT_EQ (report->requests, std::vector{ second });
@@ -113,9 +113,9 @@
     auto watch = watchWithLostAnswer();
 
     for (int sent = 0; sent < 1000; ++sent)
-        watch.unanswered (at (52 + 2 * sent), at (51 + 2 * sent), second);
+        watch.recordLostAnswer (at (52 + 2 * sent), at (51 + 2 * sent), second);
 
-    watch.replaced (at (3000));
+    watch.instanceReplaced (at (3000));
     const auto report = watch.takeReport();
     ASSERT_TRUE (report);
     EXPECT_EQ (report->requests, std::vector{ first });
@@ -126,8 +126,8 @@
 /** Two health probes, 100 ms apart, end without an answer. */
 void failTwoProbes (CrashWatch& watch, Timestamp oldestRun)
 {
-    watch.questionCut (at (140), oldestRun);
-    watch.questionCut (at (240), oldestRun);
+    watch.recordFailedProbe (at (140), oldestRun);
+    watch.recordFailedProbe (at (240), oldestRun);
 }
 
 TEST (CrashWatch, AnInstanceThatAnswersNoProbeIsGone)
@@ -142,17 +142,17 @@
 TEST (CrashWatch, OneUnansweredProbeProvesNothing)
 {
     auto watch = watchWithLostAnswer();
-    watch.questionCut (at (140), noRuns);
+    watch.recordFailedProbe (at (140), noRuns);
     EXPECT_FALSE (watch.takeReport());
 }
 
 TEST (CrashWatch, UnansweredProbesCountFromTheLastAnswerOn)
 {
     auto watch = watchWithLostAnswer();
-    watch.questionCut (at (140), noRuns);
-    watch.answered (at (150), at (30));
-    watch.unanswered (at (200), at (160), second);
-    watch.questionCut (at (240), noRuns);
+    watch.recordFailedProbe (at (140), noRuns);
+    watch.recordAnswer (at (150), at (30));
+    watch.recordLostAnswer (at (200), at (160), second);
+    watch.recordFailedProbe (at (240), noRuns);
     EXPECT_FALSE (watch.takeReport());
 }
 
@@ -166,12 +166,12 @@
 TEST (CrashWatch, DoesNotReportRequestsSentAfterFailedProbesShowedACrash)
 {
     auto watch = watchWithLostAnswer();
-    watch.unanswered (at (130), at (120), second);
+    watch.recordLostAnswer (at (130), at (120), second);
     failTwoProbes (watch, noRuns);
     const auto report = watch.takeReport();
     ASSERT_TRUE (report);
     EXPECT_EQ (report->requests, std::vector{ first });
-    watch.unanswered (at (300), at (290), second);
+    watch.recordLostAnswer (at (300), at (290), second);
     EXPECT_FALSE (watch.takeReport());
 }
 
@@ -180,9 +180,9 @@
     for (const bool detectedAtOnce : { true, false })
     {
         CrashWatch watch (7);
-        watch.brokenOff (at (10), at (0), second);
-        watch.unanswered (at (400), at (100), first);
-        detectedAtOnce ? watch.gone (at (410)) : watch.replaced (at (410));
+        watch.recordAbortedRun (at (10), at (0), second);
+        watch.recordLostAnswer (at (400), at (100), first);
+        detectedAtOnce ? watch.instanceGone (at (410)) : watch.instanceReplaced (at (410));
         const auto report = watch.takeReport();
         ASSERT_TRUE (report);
         EXPECT_EQ (report->requests, (std::vector{ second, first }));
@@ -195,8 +195,8 @@
 
     for (auto* watch : { &one, &other })
     {
-        watch->unanswered (at (40), at (0), first);
-        watch->gone (at (50));
+        watch->recordLostAnswer (at (40), at (0), first);
+        watch->instanceGone (at (50));
     }
 
     EXPECT_NE (one.takeReport()->crash, other.takeReport()->crash);
--- a/tests/mesh/fixtures.h
+++ b/tests/mesh/fixtures.h
@@ -55,9 +55,9 @@
 }
 
 /** @returns the instance with the given start time */
-inline Instance bornAt (Instance instance, std::uint64_t unixMs)
+inline Instance withStartTime (Instance instance, std::uint64_t unixMs)
 {
-    instance.born = unixMs;
+    instance.startTimeMs = unixMs;
     return instance;
 }
 
--- a/tests/mesh/fleet_start_test.cc
+++ b/tests/mesh/fleet_start_test.cc
@@ -33,7 +33,7 @@
     explicit StartingFleet (std::size_t size)
     {
         for (std::size_t n = 0; n < size; ++n)
-            nodes.push_back (std::make_unique<Node> (n, n % 16 < zones ? topStrength : 0));
+            nodes.push_back (std::make_unique<Node> (n, n % 16 < zones ? maxMachineStrength : 0));
     }
 
     void runUntil (std::int64_t endMs)
@@ -80,7 +80,7 @@
         static ReaderRoleSettings settings()
         {
             ReaderRoleSettings made;
-            made.mayLook = true;
+            made.canListPeers = true;
             return made;
         }
 
@@ -117,8 +117,8 @@
 
     bool isLate (const Node& node) const
     {
-        const bool heard = at (now) - node.role.satisfiedAt() <= Milliseconds (1000);
-        return ! heard && ! node.follower.reached (at (now));
+        const bool heard = at (now) - node.role.lastUpToDate() <= Milliseconds (1000);
+        return ! heard && ! node.follower.isSourceReachable (at (now));
     }
 
     /** @returns the number of listed instances */
@@ -153,12 +153,12 @@
     void learn (Node& node, std::uint64_t seen)
     {
         node.reached = std::max (node.reached, seen);
-        node.role.reached (at (now), { 0, node.reached }, 1);
+        node.role.positionReached (at (now), { 0, node.reached }, 1);
 
         if (isListedAt (node.index, node.reached))
             node.role.listed (at (now));
 
-        if (node.role.satisfiedAt() != Timestamp{} && ! node.role.reading())
+        if (node.role.lastUpToDate() != Timestamp{} && ! node.role.reading())
             node.follower.pause ({ 0, node.reached });
     }
 
@@ -195,7 +195,7 @@
         node.answerAt = -1;
         SourceAnswer answer;
         answer.reply = fails ? SourceReply::refused : SourceReply::entries;
-        answer.at = { 0, revision() };
+        answer.position = { 0, revision() };
 
         // Each entry's key is derived from its revision with a fixed number of digits, so that keys
         // sort by revision.
@@ -212,17 +212,18 @@
                              answer.entries.size() == pageSize && r < revision();
         }
 
-        if (const auto update = node.follower.answered (at (now), std::move (answer)))
-            learn (node, update->at.revision);
+        if (const auto update = node.follower.handleAnswer (at (now), std::move (answer)))
+            learn (node, update->position.revision);
     }
 
     void decide (Node& node)
     {
         const bool before = node.role.reading();
-        const bool reading = node.role.decide (at (now), node.follower.reached (at (now)));
-        node.follower.setTryInterval (node.role.tryInterval (at (now)));
+        const bool reading =
+            node.role.decide (at (now), node.follower.isSourceReachable (at (now)));
+        node.follower.setMinRetryInterval (node.role.minRetryInterval (at (now)));
 
-        if (node.role.takeLook())
+        if (node.role.takePeerListingRequest())
             node.follower.lookAgain (at (now));
 
         if (reading == before)
@@ -240,7 +241,7 @@
         if (isListedAt (node.index, node.reached))
             return;
 
-        const auto sendings = node.subscriptions.due (at (now), peersOf (node));
+        const auto sendings = node.subscriptions.takeDueRequests (at (now), peersOf (node));
 
         if (! sendings.empty())
             node.role.subscribed (at (now));
@@ -248,14 +249,14 @@
         send (node, sendings);
     }
 
-    void send (const Node& from, const SubscriptionSendings& sendings)
+    void send (const Node& from, const OutgoingSubscriptions& sendings)
     {
         for (const auto& sending : sendings)
         {
             auto& to = *nodes[std::stoull (sending.to.substr (1))];
             const auto& subscriber =
                 sending.subscriber.empty() ? nameOf (from.index) : sending.subscriber;
-            send (to, to.subscriptions.take (at (now), subscriber, to.role.reading()));
+            send (to, to.subscriptions.addSubscriber (at (now), subscriber, to.role.reading()));
 
             if (! to.role.reading() && ! to.subscriptions.knowsReader (at (now)))
                 to.role.listed (at (now));
@@ -268,9 +269,9 @@
             return;
 
         node.heartbeatAt = now;
-        const bool sound = node.follower.reached (at (now));
-        const ReaderBeat heartbeat{ nameOf (node.index), "z", node.rank,
-                                    { 0, node.reached }, 1,   sound };
+        const bool sound = node.follower.isSourceReachable (at (now));
+        const ReaderHeartbeat heartbeat{ nameOf (node.index), "z", node.rank,
+                                         { 0, node.reached }, 1,   sound };
         auto receivers = peersOf (node);
 
         for (const auto& name : node.subscriptions.subscribers (at (now)))
@@ -280,18 +281,18 @@
             receive (*nodes[std::stoull (name.substr (1))], heartbeat);
     }
 
-    void receive (Node& node, const ReaderBeat& heartbeat)
+    void receive (Node& node, const ReaderHeartbeat& heartbeat)
     {
-        node.role.heard (at (now), heartbeat);
+        node.role.heartbeatReceived (at (now), heartbeat);
 
-        if (heartbeat.sound)
-            send (node,
-                  node.subscriptions.heardReader (at (now), heartbeat.node, node.role.reading()));
+        if (heartbeat.healthy)
+            send (node, node.subscriptions.onReaderHeartbeat (at (now), heartbeat.node,
+                                                              node.role.reading()));
 
-        if (heartbeat.at.revision > node.reached && node.fetchAt < 0)
+        if (heartbeat.position.revision > node.reached && node.fetchAt < 0)
         {
             node.fetchAt = now + callMs;
-            node.fetchRevision = heartbeat.at.revision;
+            node.fetchRevision = heartbeat.position.revision;
         }
     }
 
--- a/tests/mesh/instance_directory_test.cc
+++ b/tests/mesh/instance_directory_test.cc
@@ -55,7 +55,7 @@
 {
     InstanceDirectory directory;
     directory.put (at (0), makeInstance ("a", "z1", 1), revision (5));
-    directory.removeAllBut (at (10), {}, revision (9), untrusted);
+    directory.removeUnlisted (at (10), {}, revision (9), untrusted);
     EXPECT_EQ (usable (directory), Ids{ "a" });
     EXPECT_EQ (directory.snapshot()->byService.at ("desk")[0].state, InstanceState::lapsed);
     directory.advance (at (2500));
@@ -94,31 +94,31 @@
 TEST (InstanceDirectory, AnEntryWithAnEarlierStartTimeIsNotUsable)
 {
     InstanceDirectory directory;
-    directory.put (at (0), bornAt (makeInstance ("a", "z1", 1), 2000), revision (5));
-    directory.put (at (1), bornAt (makeInstance ("a", "z1", 1), 1000), revision (6));
+    directory.put (at (0), withStartTime (makeInstance ("a", "z1", 1), 2000), revision (5));
+    directory.put (at (1), withStartTime (makeInstance ("a", "z1", 1), 1000), revision (6));
     EXPECT_TRUE (usable (directory).empty());
-    directory.put (at (2), bornAt (makeInstance ("a", "z1", 1), 1500), revision (7));
+    directory.put (at (2), withStartTime (makeInstance ("a", "z1", 1), 1500), revision (7));
     EXPECT_TRUE (usable (directory).empty());
-    directory.put (at (3), bornAt (makeInstance ("a", "z1", 1), 2000), revision (8));
+    directory.put (at (3), withStartTime (makeInstance ("a", "z1", 1), 2000), revision (8));
     EXPECT_EQ (usable (directory), Ids{ "a" });
 }
 
 TEST (InstanceDirectory, ALaterIncarnationOfADepartedInstanceIsUsableAtOnce)
 {
     InstanceDirectory directory;
-    directory.put (at (0), bornAt (makeInstance ("a", "z1", 1), 1000), revision (5));
+    directory.put (at (0), withStartTime (makeInstance ("a", "z1", 1), 1000), revision (5));
     directory.remove (at (1), "a", revision (6), trusted);
-    directory.put (at (2), bornAt (makeInstance ("a", "z1", 1), 2000), revision (7));
+    directory.put (at (2), withStartTime (makeInstance ("a", "z1", 1), 2000), revision (7));
     EXPECT_EQ (usable (directory), Ids{ "a" });
 }
 
 TEST (InstanceDirectory, EntriesWithoutAStartTimeAreAccepted)
 {
     InstanceDirectory directory;
-    directory.put (at (0), bornAt (makeInstance ("a", "z1", 1), 1000), revision (5));
+    directory.put (at (0), withStartTime (makeInstance ("a", "z1", 1), 1000), revision (5));
     directory.put (at (1), makeInstance ("a", "z1", 1), revision (6));
     EXPECT_EQ (usable (directory), Ids{ "a" });
-    directory.put (at (2), bornAt (makeInstance ("a", "z1", 1), 500), revision (7));
+    directory.put (at (2), withStartTime (makeInstance ("a", "z1", 1), 500), revision (7));
     EXPECT_TRUE (usable (directory).empty()) << "the start time was known before";
 }
 
@@ -126,13 +126,13 @@
 {
     LocalInstance local ("desk");
     auto entry = listed ("a", 5);
-    entry.instance.born = 1000;
-    EXPECT_TRUE (local.takeEntry (&entry));
-    EXPECT_TRUE (local.failed (at (0), true));
-    EXPECT_FALSE (local.takeEntry (&entry));
+    entry.instance.startTimeMs = 1000;
+    EXPECT_TRUE (local.updateFromEntry (&entry));
+    EXPECT_TRUE (local.recordFailure (at (0), true));
+    EXPECT_FALSE (local.updateFromEntry (&entry));
     EXPECT_TRUE (local.lost());
-    entry.instance.born = 2000;
-    EXPECT_TRUE (local.takeEntry (&entry));
+    entry.instance.startTimeMs = 2000;
+    EXPECT_TRUE (local.updateFromEntry (&entry));
     EXPECT_FALSE (local.lost());
 }
 
@@ -140,14 +140,14 @@
 {
     LocalInstance local ("desk");
     const auto dead = listed ("dead", 5);
-    EXPECT_TRUE (local.takeEntry (&dead));
-    EXPECT_TRUE (local.heard ("alive"));
-    EXPECT_FALSE (local.takeEntry (&dead)); // The store still lists it.
+    EXPECT_TRUE (local.updateFromEntry (&dead));
+    EXPECT_TRUE (local.recordReportedId ("alive"));
+    EXPECT_FALSE (local.updateFromEntry (&dead)); // The store still lists it.
     EXPECT_EQ (local.id(), "alive");
     EXPECT_EQ (local.service(), "desk");
 
     const auto own = listed ("alive", 8);
-    EXPECT_FALSE (local.takeEntry (&own));
+    EXPECT_FALSE (local.updateFromEntry (&own));
     EXPECT_EQ (local.identitySource(), IdentitySource::entry);
 }
 
@@ -155,11 +155,11 @@
 {
     LocalInstance local ("desk");
     const auto first = listed ("first", 5);
-    local.takeEntry (&first);
-    local.heard ("second");
+    local.updateFromEntry (&first);
+    local.recordReportedId ("second");
     auto third = listed ("third", 9);
     third.instance.service = "hub";
-    EXPECT_TRUE (local.takeEntry (&third));
+    EXPECT_TRUE (local.updateFromEntry (&third));
     EXPECT_EQ (local.id(), "third");
     EXPECT_EQ (local.service(), "hub");
 }
@@ -168,10 +168,10 @@
 {
     LocalInstance local ("desk");
     const auto leaving = listed ("a", 5, InstanceState::leaving);
-    local.takeEntry (&leaving);
+    local.updateFromEntry (&leaving);
     EXPECT_TRUE (local.leaving());
     const auto next = listed ("b", 6);
-    local.takeEntry (&next);
+    local.updateFromEntry (&next);
     EXPECT_FALSE (local.leaving());
 }
 
@@ -179,17 +179,17 @@
 {
     LocalInstance local ("desk");
     const auto entry = listed ("a", 5);
-    local.takeEntry (&entry);
+    local.updateFromEntry (&entry);
     EXPECT_FALSE (local.wantsProbe (at (0)));
-    EXPECT_TRUE (local.failed (at (0), true));
+    EXPECT_TRUE (local.recordFailure (at (0), true));
     EXPECT_TRUE (local.wantsProbe (at (0)));
-    EXPECT_TRUE (local.answered (at (1)));
+    EXPECT_TRUE (local.recordAnswer (at (1)));
     EXPECT_FALSE (local.lost());
 
     for (int calls = 0; calls < 3; ++calls)
-        EXPECT_FALSE (local.failed (at (2), false));
+        EXPECT_FALSE (local.recordFailure (at (2), false));
 
-    EXPECT_TRUE (local.failed (at (2), false));
+    EXPECT_TRUE (local.recordFailure (at (2), false));
 }
 
 TEST (InstanceDirectory, InstancesInEvacuatedZonesStillCountAsNodes)
--- a/tests/mesh/instance_poll_test.cc
+++ b/tests/mesh/instance_poll_test.cc
@@ -55,7 +55,7 @@
     EXPECT_EQ (poll.replied (free ("a", 220)), PollStep::wait);
     EXPECT_EQ (poll.replied (busy ("b", 150)), PollStep::wait);
     EXPECT_EQ (poll.replied (refusing ("c")), PollStep::widen);
-    EXPECT_EQ (poll.timeUp(), PollStep::take);
+    EXPECT_EQ (poll.waitExpired(), PollStep::take);
     EXPECT_EQ (poll.best().instance.id, "b");
 }
 
@@ -81,7 +81,7 @@
 
 TEST_F (Poll, WithoutOtherZonesTheShortestQueueIsTaken)
 {
-    EXPECT_EQ (poll.timeUp(), PollStep::widen); // The poll widens only once.
+    EXPECT_EQ (poll.waitExpired(), PollStep::widen); // The poll widens only once.
     poll.replied (busy ("a", 160));
     poll.replied (busy ("b", 150));
     EXPECT_EQ (poll.replied (refusing ("c")), PollStep::take);
@@ -102,10 +102,10 @@
 
 TEST_F (Poll, RefusalsForOtherReasonsThanLoadAreNotUsable)
 {
-    EXPECT_EQ (poll.timeUp(), PollStep::widen); // The poll widens only once.
+    EXPECT_EQ (poll.waitExpired(), PollStep::widen); // The poll widens only once.
     poll.replied (refusing ("a", HopCause::instanceDown));
     poll.replied (refusing ("b", HopCause::instanceUnknown));
-    EXPECT_EQ (poll.replied (refusing ("c", HopCause::nodeStopping)), PollStep::unheard);
+    EXPECT_EQ (poll.replied (refusing ("c", HopCause::nodeStopping)), PollStep::noUsableReply);
 }
 
 TEST_F (Poll, AnInstanceWithFailedRunsDoesNotCountAsFree)
@@ -115,13 +115,13 @@
     EXPECT_EQ (poll.replied (failing), PollStep::wait);
     EXPECT_EQ (poll.replied (busy ("b", 250)), PollStep::wait);
     EXPECT_EQ (poll.replied (refusing ("c")), PollStep::widen);
-    EXPECT_EQ (poll.timeUp(), PollStep::take);
+    EXPECT_EQ (poll.waitExpired(), PollStep::take);
     EXPECT_EQ (poll.best().instance.id, "b");
 }
 
 TEST_F (Poll, AnInstanceWithFailedRunsIsTakenIfTheOthersRefuse)
 {
-    EXPECT_EQ (poll.timeUp(), PollStep::widen); // The poll widens only once.
+    EXPECT_EQ (poll.waitExpired(), PollStep::widen); // The poll widens only once.
     auto failing = free ("a", 5);
     failing.failureShare = 0.4;
     poll.replied (failing);
@@ -133,15 +133,15 @@
 TEST_F (Poll, ATimeOutEndsTheWaitForMissingReplies)
 {
     poll.replied (busy ("a", 150));
-    EXPECT_EQ (poll.timeUp(), PollStep::widen);
-    EXPECT_EQ (poll.timeUp(), PollStep::take);
+    EXPECT_EQ (poll.waitExpired(), PollStep::widen);
+    EXPECT_EQ (poll.waitExpired(), PollStep::take);
     EXPECT_EQ (poll.best().instance.id, "a");
 }
 
 TEST_F (Poll, WithoutAnyReplyThereIsNoUsableOne)
 {
-    EXPECT_EQ (poll.timeUp(), PollStep::widen);
-    EXPECT_EQ (poll.timeUp(), PollStep::unheard);
+    EXPECT_EQ (poll.waitExpired(), PollStep::widen);
+    EXPECT_EQ (poll.waitExpired(), PollStep::noUsableReply);
 }
 
 TEST_F (Poll, UnexpectedAndRepeatedRepliesAreIgnored)
@@ -157,10 +157,10 @@
 TEST_F (Poll, OtherRegionsAreAskedOnlyIfNoInstanceOfTheRegionCanAnswerInTime)
 {
     poll.allowOtherRegions (400);
-    EXPECT_EQ (poll.timeUp(), PollStep::widen);
+    EXPECT_EQ (poll.waitExpired(), PollStep::widen);
     poll.replied (busy ("a", 500));
     poll.replied (refusing ("b"));
-    EXPECT_EQ (poll.replied (refusing ("c")), PollStep::widenFar);
+    EXPECT_EQ (poll.replied (refusing ("c")), PollStep::widenToOtherRegions);
     poll.ask (makeInstance ("far", "z9", 9), 120);
     EXPECT_EQ (poll.replied (free ("far")), PollStep::take);
     EXPECT_EQ (poll.best().instance.id, "far");
@@ -169,7 +169,7 @@
 TEST_F (Poll, AQueueWithinTheTargetStaysInTheRegion)
 {
     poll.allowOtherRegions (400);
-    EXPECT_EQ (poll.timeUp(), PollStep::widen);
+    EXPECT_EQ (poll.waitExpired(), PollStep::widen);
     poll.replied (busy ("a", 390));
     poll.replied (refusing ("b"));
     EXPECT_EQ (poll.replied (refusing ("c")), PollStep::take);
@@ -181,7 +181,7 @@
     poll.ask (makeInstance ("a", "z1", 1), 0);
     poll.ask (makeInstance ("b", "z1", 2), 0);
     auto narrow = free ("a");
-    narrow.bodyMs = 900;
+    narrow.bodyTransferMs = 900;
     EXPECT_EQ (poll.replied (narrow), PollStep::wait);
     EXPECT_EQ (poll.replied (free ("b", 200)), PollStep::take);
     EXPECT_EQ (poll.best().instance.id, "b");
--- a/tests/mesh/load_query_test.cc
+++ b/tests/mesh/load_query_test.cc
@@ -50,7 +50,7 @@
     EXPECT_EQ (decodedReply->expectedMs, 130.5);
     EXPECT_EQ (decodedReply->load, 6);
     EXPECT_EQ (decodedReply->runMs, 96);
-    EXPECT_EQ (decodedReply->bodyMs, 12);
+    EXPECT_EQ (decodedReply->bodyTransferMs, 12);
     EXPECT_EQ (decodedReply->failureShare, 0.25);
 }
 
--- a/tests/mesh/locality_test.cc
+++ b/tests/mesh/locality_test.cc
@@ -17,13 +17,13 @@
 TEST (Locality, ProximityOfZones)
 {
     const Locality locality ("n1", regions);
-    EXPECT_EQ (locality.of ("n1"), Proximity::sameZone);
-    EXPECT_EQ (locality.of ("n2"), Proximity::sameRegion);
-    EXPECT_EQ (locality.of ("s1"), Proximity::otherRegion);
-    EXPECT_EQ (locality.of ("unknown"), Proximity::sameRegion);
+    EXPECT_EQ (locality.proximityTo ("n1"), Proximity::sameZone);
+    EXPECT_EQ (locality.proximityTo ("n2"), Proximity::sameRegion);
+    EXPECT_EQ (locality.proximityTo ("s1"), Proximity::otherRegion);
+    EXPECT_EQ (locality.proximityTo ("unknown"), Proximity::sameRegion);
     EXPECT_TRUE (locality.hasOtherRegions());
     EXPECT_FALSE (Locality ("n1", { { "n1", "north" }, { "n2", "north" } }).hasOtherRegions());
-    EXPECT_EQ (Locality ("n1", {}).of ("s1"), Proximity::sameRegion);
+    EXPECT_EQ (Locality ("n1", {}).proximityTo ("s1"), Proximity::sameRegion);
 }
 
 TEST (Locality, AllowedRegionsExcludeUnknownZones)
--- a/tests/mesh/mesh_state_test.cc
+++ b/tests/mesh/mesh_state_test.cc
@@ -13,7 +13,7 @@
 {
     MeshUpdate update;
     update.complete = true;
-    update.at = revision (number);
+    update.position = revision (number);
     update.instances = { { makeInstance ("a", "z1", 1), revision (2), false, true },
                          { makeInstance ("b", "z1", 2), revision (3), false, true } };
     update.configuration =
@@ -24,11 +24,11 @@
 MeshUpdate removal (const std::string& id, std::uint64_t number, bool trusted)
 {
     MeshUpdate update;
-    update.at = revision (number);
+    update.position = revision (number);
     InstanceChange change;
     change.instance.id = id;
     change.position = revision (number);
-    change.gone = true;
+    change.removed = true;
     change.trusted = trusted;
     update.instances = { change };
     return update;
@@ -157,7 +157,7 @@
 MeshUpdate evacuation (const std::string& zone, std::uint64_t number, bool over)
 {
     MeshUpdate update;
-    update.at = revision (number);
+    update.position = revision (number);
     update.evacuations = { { zone, revision (number), over } };
     return update;
 }
@@ -199,7 +199,7 @@
     EXPECT_EQ (usable (node), 0U);
     const auto outcome = node.take (at (2), completeUpdate (4, 12));
     ASSERT_EQ (outcome.evacuations.size(), 1U);
-    EXPECT_TRUE (outcome.evacuations[0].over);
+    EXPECT_TRUE (outcome.evacuations[0].ended);
     EXPECT_EQ (usable (node), 2U);
 }
 
--- a/tests/mesh/mesh_update_test.cc
+++ b/tests/mesh/mesh_update_test.cc
@@ -53,9 +53,9 @@
 {
     MeshUpdate update;
     update.complete = true;
-    update.at = revision (31);
-    update.instances = { { bornAt (makeInstance ("a", "z1", 1), 1768005044252), revision (7), false,
-                           true },
+    update.position = revision (31);
+    update.instances = { { withStartTime (makeInstance ("a", "z1", 1), 1768005044252), revision (7),
+                           false, true },
                          { makeInstance ("b", "z1", 2), revision (9), true, false } };
     auto config = makeConfiguration (9);
 
@@ -75,11 +75,11 @@
     const auto read = Resolve ([&] { return decodeMeshUpdate (bytes); });
     ASSERT_TRUE (read);
     EXPECT_TRUE (read.value().complete);
-    EXPECT_EQ (read.value().at, revision (31));
+    EXPECT_EQ (read.value().position, revision (31));
     ASSERT_EQ (read.value().instances.size(), 2U);
     EXPECT_EQ (read.value().instances[0].instance.address, update.instances[0].instance.address);
-    EXPECT_EQ (read.value().instances[0].instance.born, 1768005044252U);
-    EXPECT_TRUE (read.value().instances[1].gone);
+    EXPECT_EQ (read.value().instances[0].instance.startTimeMs, 1768005044252U);
+    EXPECT_TRUE (read.value().instances[1].removed);
     EXPECT_FALSE (read.value().instances[1].trusted);
     EXPECT_EQ (read.value().configuration->content.routes, update.configuration->content.routes);
 }
@@ -119,7 +119,7 @@
 {
     MeshUpdate update;
     auto instance = makeInstance ("a", "z1", 1);
-    instance.coldFor = Milliseconds (1234);
+    instance.coldRemaining = Milliseconds (1234);
     update.instances = { { instance, 7, false, true } };
     update.evacuations = { { "z1", 8, false }, { "z2", 9, true } };
     auto config = makeConfiguration (3);
@@ -128,7 +128,7 @@
 
     const auto read = Resolve ([&] { return decodeMeshUpdate (encode (update)); });
     ASSERT_TRUE (read);
-    EXPECT_EQ (read.value().instances[0].instance.coldFor, Milliseconds (1234));
+    EXPECT_EQ (read.value().instances[0].instance.coldRemaining, Milliseconds (1234));
     EXPECT_EQ (read.value().evacuations, update.evacuations);
     EXPECT_EQ (read.value().configuration->content.services.at ("desk").cold,
                (ColdProfile{ Milliseconds (3000), 13 }));
--- a/tests/mesh/peer_addresses_test.cc
+++ b/tests/mesh/peer_addresses_test.cc
@@ -35,8 +35,8 @@
 
 TEST_F (Peers, AreTheNodesOfAllOtherInstances)
 {
-    EXPECT_EQ (peers().inZone, (Ips{ "10.0.0.2", "10.0.0.3" }));
-    EXPECT_EQ (peers().elsewhere, (Ips{ "10.0.0.4", "10.0.0.5" }));
+    EXPECT_EQ (peers().sameZone, (Ips{ "10.0.0.2", "10.0.0.3" }));
+    EXPECT_EQ (peers().otherZones, (Ips{ "10.0.0.4", "10.0.0.5" }));
 }
 
 TEST_F (Peers, AreListedOncePerIp)
@@ -44,7 +44,7 @@
     auto second = makeInstance ("e", "z2", 4);
     second.address.port = 8001;
     directory.put (at (0), second, revision (6));
-    EXPECT_EQ (peers().elsewhere, (Ips{ "10.0.0.4", "10.0.0.5" }));
+    EXPECT_EQ (peers().otherZones, (Ips{ "10.0.0.4", "10.0.0.5" }));
 }
 
 } // namespace
--- a/tests/mesh/quota_faults_test.cc
+++ b/tests/mesh/quota_faults_test.cc
@@ -19,15 +19,15 @@
     for (std::uint64_t seed = 1; seed <= 8; ++seed)
     {
         QuotaFleet fleet (seed, smallQuota, fewNodes, fewZones);
-        fleet.play (3000, overloadPerSecond);
+        fleet.run (3000, overloadPerSecond);
 
         for (int n = 0; n < 6; ++n)
         {
-            fleet.sleepsUntil[fleet.keeper()] = fleet.nowMs + 1400;
-            fleet.play (1900, overloadPerSecond);
+            fleet.pausedUntilMs[fleet.keeper()] = fleet.nowMs + 1400;
+            fleet.run (1900, overloadPerSecond);
         }
 
-        EXPECT_LE (fleet.most(), fleet.bound()) << "seed " << seed;
+        EXPECT_LE (fleet.maxPassedInWindow(), fleet.limitInWindow()) << "seed " << seed;
     }
 }
 
@@ -41,12 +41,12 @@
     for (std::uint64_t seed = 1; seed <= 8; ++seed)
     {
         QuotaFleet fleet (seed, smallQuota, fewNodes, fewZones);
-        fleet.play (3000, overloadPerSecond);
+        fleet.run (3000, overloadPerSecond);
         fleet.instancesAreDown = true;
-        fleet.play (4000, 2 * overloadPerSecond);
+        fleet.run (4000, 2 * overloadPerSecond);
         fleet.instancesAreDown = false;
-        fleet.play (6000, overloadPerSecond);
-        EXPECT_LE (fleet.most(), fleet.bound()) << "seed " << seed;
+        fleet.run (6000, overloadPerSecond);
+        EXPECT_LE (fleet.maxPassedInWindow(), fleet.limitInWindow()) << "seed " << seed;
     }
 }
 
@@ -55,14 +55,14 @@
     for (std::uint64_t seed = 1; seed <= 8; ++seed)
     {
         QuotaFleet fleet (seed, smallQuota, fewNodes, fewZones);
-        fleet.play (3000, overloadPerSecond);
+        fleet.run (3000, overloadPerSecond);
 
         for (int n = 0; n < fewNodes; ++n)
             if (n % fewZones == 0)
-                fleet.listWithout (n, { fleet.keeper() });
+                fleet.setDirectoryWithout (n, { fleet.keeper() });
 
-        fleet.play (6000, overloadPerSecond);
-        EXPECT_LE (fleet.most(), fleet.bound()) << "seed " << seed;
+        fleet.run (6000, overloadPerSecond);
+        EXPECT_LE (fleet.maxPassedInWindow(), fleet.limitInWindow()) << "seed " << seed;
     }
 }
 
@@ -72,7 +72,7 @@
     for (std::uint64_t seed = 1; seed <= 8; ++seed)
     {
         QuotaFleet fleet (seed, smallQuota, fewNodes, fewZones);
-        fleet.play (3000, overloadPerSecond);
+        fleet.run (3000, overloadPerSecond);
         const auto keeper = fleet.keeper();
 
         for (int round = 0; round < 6; ++round)
@@ -81,12 +81,12 @@
                 round % 2 == 0 ? std::set<int>{ keeper } : std::set<int>{};
 
             for (int n = 0; n < fewNodes; ++n)
-                fleet.listWithout (n, unlisted);
+                fleet.setDirectoryWithout (n, unlisted);
 
-            fleet.play (1200, overloadPerSecond);
+            fleet.run (1200, overloadPerSecond);
         }
 
-        EXPECT_LE (fleet.most(), fleet.bound()) << "seed " << seed;
+        EXPECT_LE (fleet.maxPassedInWindow(), fleet.limitInWindow()) << "seed " << seed;
     }
 }
 
--- a/tests/mesh/quota_fleet.h
+++ b/tests/mesh/quota_fleet.h
@@ -35,11 +35,12 @@
         , quota (quotaToEnforce)
     {
         for (int n = 0; n < size; ++n)
-            places.push_back ({ "10.0.0." + std::to_string (n), "z" + std::to_string (n % zones) });
+            quotaNodes.push_back (
+                { "10.0.0." + std::to_string (n), "z" + std::to_string (n % zones) });
 
-        nodes.resize (places.size());
-        cutOff.resize (places.size(), false);
-        sleepsUntil.resize (places.size(), 0);
+        nodes.resize (quotaNodes.size());
+        isolatedNodes.resize (quotaNodes.size(), false);
+        pausedUntilMs.resize (quotaNodes.size(), 0);
 
         for (int n = 0; n < size; ++n)
             start (n);
@@ -58,10 +59,10 @@
         TenantQuotaHooks hooks;
         hooks.send = [this, n] (const std::string& ip, const std::string& bytes)
         { send (n, ip, bytes); };
-        hooks.alone = [] (const QuotaSolitude&) {};
-        hooks.used = [] (const std::string&, const QuotaUse&) {};
-        hooks.kept = [] (const std::string&, const QuotaKeeping&) {};
-        nodes[n] = std::make_unique<TenantQuotas> (QuotaBounds{}, places[n], random(), hooks);
+        hooks.onLocalFallback = [] (const QuotaFallback&) {};
+        hooks.onUsageReport = [] (const std::string&, const QuotaUsage&) {};
+        hooks.onKeeperReport = [] (const std::string&, const QuotaKeeperActivity&) {};
+        nodes[n] = std::make_unique<TenantQuotas> (QuotaBounds{}, quotaNodes[n], random(), hooks);
         nodes[n]->setDirectory (*directory());
     }
 
@@ -77,7 +78,7 @@
     void kill (int n) { nodes[n].reset(); }
 
     /** Gives a node a directory that lacks some nodes. */
-    void listWithout (int n, const std::set<int>& missing)
+    void setDirectoryWithout (int n, const std::set<int>& missing)
     {
         nodes[n]->setDirectory (*directory (missing));
     }
@@ -92,7 +93,7 @@
     }
 
     /** Advances the virtual time; each node from `from` to before `until` receives requests. */
-    void play (std::int64_t howLongMs, double perSecondEach, int from = 0, int until = nodeCount)
+    void run (std::int64_t howLongMs, double perSecondEach, int from = 0, int until = nodeCount)
     {
         const auto size = static_cast<int> (nodes.size());
         std::bernoulli_distribution arrives (perSecondEach / 1000);
@@ -116,16 +117,19 @@
     }
 
     /** @returns the index of the node that ranks first for the tenant. */
-    int keeper() const { return indexOf (QuotaView (places, places[0]).candidates ("a")[0].ip); }
+    int keeper() const
+    {
+        return indexOf (QuotaView (quotaNodes, quotaNodes[0]).candidates ("a")[0].ip);
+    }
 
     /** @returns the requests that the quota permits within a window of five seconds. */
-    double allowed() const { return 5 * quota.requestsPerSecond + quota.burst; }
+    double quotaInWindow() const { return 5 * quota.requestsPerSecond + quota.burst; }
 
     /** @returns the most requests that may pass within a window, permitted excess included. */
-    double bound() const { return allowed() + QuotaBounds{}.permittedExcess (quota); }
+    double limitInWindow() const { return quotaInWindow() + QuotaBounds{}.permittedExcess (quota); }
 
     /** @returns the most requests that were passed in any window of five seconds. */
-    double most() const
+    double maxPassedInWindow() const
     {
         std::size_t most = 0, first = 0;
 
@@ -146,18 +150,18 @@
         return refused / std::max (1.0, refused + static_cast<double> (passedAt.size()));
     }
 
-    void forgetCounts()
+    void resetCounts()
     {
         passedAt.clear();
         refused = 0;
     }
 
-    double lossShare = 0;           /**< Share of the datagrams that are lost. */
-    bool instancesAreDown = false;  /**< Whether passed requests fail and are given back at once. */
-    std::vector<bool> cutOff;       /**< Whether a node reaches no other node, by index. */
-    std::set<std::string> cutZones; /**< Zones whose nodes reach no other zone. */
-    std::vector<std::int64_t> sleepsUntil; /**< End of each node's pause, by index. */
-    std::vector<QuotaNode> places;         /**< All nodes, by index. */
+    double lossShare = 0;          /**< Share of the datagrams that are lost. */
+    bool instancesAreDown = false; /**< Whether passed requests fail and are given back at once. */
+    std::vector<bool> isolatedNodes;         /**< Whether a node reaches no other node, by index. */
+    std::set<std::string> partitionedZones;  /**< Zones whose nodes reach no other zone. */
+    std::vector<std::int64_t> pausedUntilMs; /**< End of each node's pause, by index. */
+    std::vector<QuotaNode> quotaNodes;       /**< All nodes, by index. */
     std::mt19937_64 random;
     std::int64_t nowMs = 0;
 
@@ -168,7 +172,7 @@
         std::string bytes;
     };
 
-    bool isRunning (int n) const { return nodes[n] != nullptr && sleepsUntil[n] <= nowMs; }
+    bool isRunning (int n) const { return nodes[n] != nullptr && pausedUntilMs[n] <= nowMs; }
 
     int indexOf (const std::string& ip) const { return std::stoi (ip.substr (7)); }
 
@@ -187,13 +191,13 @@
     {
         InstanceDirectory all;
 
-        for (int n = 0; n < static_cast<int> (places.size()); ++n)
+        for (int n = 0; n < static_cast<int> (quotaNodes.size()); ++n)
         {
             if (missing.contains (n))
                 continue;
 
-            auto instance = makeInstance ("i" + std::to_string (n), places[n].zone, n);
-            instance.address.ip = places[n].ip;
+            auto instance = makeInstance ("i" + std::to_string (n), quotaNodes[n].zone, n);
+            instance.address.ip = quotaNodes[n].ip;
             all.put (at (0), instance, revision (1));
         }
 
@@ -202,10 +206,10 @@
 
     bool reaches (int a, int b) const
     {
-        const bool sameZone = places[a].zone == places[b].zone;
-        return ! cutOff[a] && ! cutOff[b] &&
-               (sameZone ||
-                (! cutZones.contains (places[a].zone) && ! cutZones.contains (places[b].zone)));
+        const bool sameZone = quotaNodes[a].zone == quotaNodes[b].zone;
+        return ! isolatedNodes[a] && ! isolatedNodes[b] &&
+               (sameZone || (! partitionedZones.contains (quotaNodes[a].zone) &&
+                             ! partitionedZones.contains (quotaNodes[b].zone)));
     }
 
     void send (int from, const std::string& ip, const std::string& bytes)
@@ -230,26 +234,27 @@
             const auto datagram = inFlight.extract (inFlight.begin()).mapped();
 
             // A datagram to a paused node is delivered when the pause ends.
-            if (sleepsUntil[datagram.to] > nowMs)
-                inFlight.emplace (sleepsUntil[datagram.to], datagram);
+            if (pausedUntilMs[datagram.to] > nowMs)
+                inFlight.emplace (pausedUntilMs[datagram.to], datagram);
             else if (nodes[datagram.to] != nullptr)
-                nodes[datagram.to]->receive (at (nowMs), places[datagram.from].ip, datagram.bytes);
+                nodes[datagram.to]->receive (at (nowMs), quotaNodes[datagram.from].ip,
+                                             datagram.bytes);
         }
     }
 
     void request (int n)
     {
         const auto table = routes();
-        nodes[n]->take (at (nowMs), *table->tenants().named ("a"),
-                        [this, n] (const TenantQuotas::Verdict& verdict)
-                        {
-                            if (verdict.passed && instancesAreDown)
-                                nodes[n]->giveBack (at (nowMs), "a", verdict.lapsesAt);
-                            else if (verdict.passed)
-                                passedAt.push_back (nowMs);
-                            else
-                                ++refused;
-                        });
+        nodes[n]->acquire (at (nowMs), *table->tenants().findByName ("a"),
+                           [this, n] (const TenantQuotas::Verdict& verdict)
+                           {
+                               if (verdict.passed && instancesAreDown)
+                                   nodes[n]->giveBack (at (nowMs), "a", verdict.lapsesAt);
+                               else if (verdict.passed)
+                                   passedAt.push_back (nowMs);
+                               else
+                                   ++refused;
+                           });
     }
 
     Quota quota;
--- a/tests/mesh/quota_test.cc
+++ b/tests/mesh/quota_test.cc
@@ -92,8 +92,8 @@
         for (const auto& node : nodes)
             if (! silent.contains (node.zone))
             {
-                keeper.heard (now, node.ip);
-                keeper.heardDigest (now, node.ip, keeper.digestFor ("a"));
+                keeper.recordContact (now, node.ip);
+                keeper.recordDigest (now, node.ip, keeper.digestFor ("a"));
             }
     }
 
@@ -108,7 +108,7 @@
         for (auto ms = fromMs; ms < untilMs; ms += 50)
         {
             answerPings (keeper, at (ms), silent);
-            granted += keeper.ask (at (ms), tenant, { 1, "a", 1000, 0 }, "x").granted;
+            granted += keeper.handleRequest (at (ms), tenant, { 1, "a", 1000, 0 }, "x").granted;
         }
 
         return granted;
@@ -134,11 +134,11 @@
     for (int ms = 5000; ms < 9000; ms += 500)
     {
         answerPings (first, at (ms));
-        first.ask (at (ms), tenant, { 1, "a", 1, 0 }, "x");
+        first.handleRequest (at (ms), tenant, { 1, "a", 1, 0 }, "x");
     }
 
     answerPings (first, at (9000));
-    const auto burst = first.ask (at (9000), tenant, { 1, "a", 1000, 0 }, "x");
+    const auto burst = first.handleRequest (at (9000), tenant, { 1, "a", 1000, 0 }, "x");
     const auto expected = 0.5 * 20 + 0.15 * QuotaBounds{}.permittedExcess (tenant.quota);
     EXPECT_NEAR (burst.granted, expected, 2);
     EXPECT_GT (burst.retryAfterMs, 0U);
@@ -163,9 +163,9 @@
 
         for (const auto& node : nodes)
             if (node.zone != order[0].zone)
-                first.heardDigest (at (ms), node.ip, { "a", 1 });
+                first.recordDigest (at (ms), node.ip, { "a", 1 });
 
-        first.ask (at (ms), tenant, { 1, "a", 1000, 0 }, "x");
+        first.handleRequest (at (ms), tenant, { 1, "a", 1000, 0 }, "x");
     }
 
     EXPECT_NEAR (first.reachableShare (at (2500), "a"), 3.0 / 12, 1e-9)
@@ -174,8 +174,8 @@
 
 TEST_F (Keeping, AStandInRedirectsWhileTheKeeperIsAlive)
 {
-    second.heard (at (0), order[0].ip);
-    const auto grant = second.ask (at (10), tenant, { 7, "a", 5, 0 }, "x");
+    second.recordContact (at (0), order[0].ip);
+    const auto grant = second.handleRequest (at (10), tenant, { 7, "a", 5, 0 }, "x");
     EXPECT_EQ (grant.keeper, order[0].ip);
     EXPECT_EQ (grant.granted, 0U);
     EXPECT_EQ (grant.number, 7U);
@@ -183,18 +183,18 @@
 
 TEST_F (Keeping, AStandInWaitsForTheKeeperToAnswerBeforeItGrants)
 {
-    EXPECT_EQ (second.ask (at (0), tenant, { 1, "a", 5, 0 }, "x").granted, 0U);
-    const auto pinged = second.pingsDue (at (1));
+    EXPECT_EQ (second.handleRequest (at (0), tenant, { 1, "a", 5, 0 }, "x").granted, 0U);
+    const auto pinged = second.nodesToPing (at (1));
     EXPECT_NE (std::find (pinged.begin(), pinged.end(), order[0].ip), pinged.end());
-    EXPECT_EQ (second.ask (at (60), tenant, { 1, "a", 5, 0 }, "x").granted, 0U);
-    EXPECT_GT (second.ask (at (150), tenant, { 1, "a", 5, 0 }, "x").granted, 0U);
+    EXPECT_EQ (second.handleRequest (at (60), tenant, { 1, "a", 5, 0 }, "x").granted, 0U);
+    EXPECT_GT (second.handleRequest (at (150), tenant, { 1, "a", 5, 0 }, "x").granted, 0U);
 }
 
 TEST_F (Keeping, AKeeperStartsWithFewTokensAfterAPause)
 {
     drain (first, 0, 5000);
     // The keeper was paused for four seconds and has received no datagram since.
-    const auto grant = first.ask (at (9000), tenant, { 1, "a", 1000, 0 }, "x");
+    const auto grant = first.handleRequest (at (9000), tenant, { 1, "a", 1000, 0 }, "x");
     EXPECT_LE (grant.granted, 5U);
     EXPECT_NEAR (first.reachableShare (at (9000), "a"), 1.0 / 12, 1e-9) << "itself";
 }
@@ -203,7 +203,7 @@
 {
     drain (first, 0, 1000);
     answerPings (first, at (1000));
-    EXPECT_EQ (first.ask (at (1000), tenant, { 1, "a", 12, 8 }, "x").granted, 12U);
+    EXPECT_EQ (first.handleRequest (at (1000), tenant, { 1, "a", 12, 8 }, "x").granted, 12U);
 }
 
 TEST_F (Keeping, AssignsFallbackRatesInProportionToGrants)
@@ -213,25 +213,26 @@
     for (int ms = 0; ms < 3000; ms += 100)
     {
         answerPings (first, at (ms));
-        heavy = first.ask (at (ms), tenant, { 1, "a", 3, 0 }, "heavy");
-        light = first.ask (at (ms), tenant, { 1, "a", 1, 0 }, "light");
+        heavy = first.handleRequest (at (ms), tenant, { 1, "a", 3, 0 }, "heavy");
+        light = first.handleRequest (at (ms), tenant, { 1, "a", 1, 0 }, "light");
     }
 
-    EXPECT_NEAR (heavy.alonePerSecond / light.alonePerSecond, 3, 0.3);
-    EXPECT_LE (heavy.alonePerSecond + light.alonePerSecond, 100);
+    EXPECT_NEAR (heavy.fallbackPerSecond / light.fallbackPerSecond, 3, 0.3);
+    EXPECT_LE (heavy.fallbackPerSecond + light.fallbackPerSecond, 100);
 }
 
 TEST (QuotaLease, PassesGrantedRequestsUntilTheGrantExpires)
 {
     QuotaLease lease;
-    EXPECT_EQ (lease.take (at (0)), QuotaStep::wait);
-    EXPECT_EQ (lease.wanted (at (0), 1), 1U) << "asks for single requests while the rate is low";
-    lease.granted (at (5), 3, 1);
-    EXPECT_EQ (lease.takeGranted (at (5)), QuotaStep::pass);
-    EXPECT_EQ (lease.take (at (10)), QuotaStep::pass);
-    EXPECT_EQ (lease.take (at (900)), QuotaStep::wait);
-    EXPECT_EQ (lease.takeLapsed (at (900)), 1U);
-    EXPECT_EQ (lease.takeLapsed (at (900)), 0U);
+    EXPECT_EQ (lease.take (at (0)), QuotaDecision::wait);
+    EXPECT_EQ (lease.tokensToRequest (at (0), 1), 1U)
+        << "asks for single requests while the rate is low";
+    lease.addGrant (at (5), 3, 1);
+    EXPECT_EQ (lease.takeGranted (at (5)), QuotaDecision::pass);
+    EXPECT_EQ (lease.take (at (10)), QuotaDecision::pass);
+    EXPECT_EQ (lease.take (at (900)), QuotaDecision::wait);
+    EXPECT_EQ (lease.takeExpired (at (900)), 1U);
+    EXPECT_EQ (lease.takeExpired (at (900)), 0U);
 }
 
 TEST (QuotaLease, AsksInAdvanceWhenTheRateIsHigh)
@@ -240,53 +241,53 @@
 
     for (int ms = 0; ms < 2000; ms += 20)
     {
-        lease.granted (at (ms), 1, 1);
-        EXPECT_EQ (lease.take (at (ms)), QuotaStep::pass);
+        lease.addGrant (at (ms), 1, 1);
+        EXPECT_EQ (lease.take (at (ms)), QuotaDecision::pass);
     }
 
-    EXPECT_NEAR (lease.perSecond (at (2000)), 50, 8);
-    EXPECT_NEAR (lease.wanted (at (2000), 0), 12, 3);
+    EXPECT_NEAR (lease.arrivalRate (at (2000)), 50, 8);
+    EXPECT_NEAR (lease.tokensToRequest (at (2000), 0), 12, 3);
 }
 
 TEST (QuotaLease, RefusesAtOnceForTheRetryDelay)
 {
     QuotaLease lease;
-    lease.refused (at (0), Milliseconds (100));
-    EXPECT_EQ (lease.take (at (50)), QuotaStep::refuse);
-    EXPECT_EQ (lease.take (at (101)), QuotaStep::wait);
+    lease.refuseFor (at (0), Milliseconds (100));
+    EXPECT_EQ (lease.take (at (50)), QuotaDecision::refuse);
+    EXPECT_EQ (lease.take (at (101)), QuotaDecision::wait);
 }
 
 TEST (QuotaLease, ReusesTheTokensOfRequestsThatDidNotRun)
 {
     QuotaLease lease;
-    lease.granted (at (0), 1, 1);
-    EXPECT_EQ (lease.take (at (0)), QuotaStep::pass);
-    lease.giveBack (at (10), lease.lapseOfLatestPass());
-    EXPECT_EQ (lease.take (at (20)), QuotaStep::pass);
+    lease.addGrant (at (0), 1, 1);
+    EXPECT_EQ (lease.take (at (0)), QuotaDecision::pass);
+    lease.giveBack (at (10), lease.latestPassExpiry());
+    EXPECT_EQ (lease.take (at (20)), QuotaDecision::pass);
     // The grant has expired, so that another node may hold the token.
-    lease.giveBack (at (2000), lease.lapseOfLatestPass());
-    EXPECT_EQ (lease.take (at (2000)), QuotaStep::wait);
+    lease.giveBack (at (2000), lease.latestPassExpiry());
+    EXPECT_EQ (lease.take (at (2000)), QuotaDecision::wait);
 }
 
 TEST (QuotaLease, LaterGrantsDoNotExtendEarlierOnes)
 {
     QuotaLease lease;
-    lease.granted (at (0), 5, 1);
-    lease.granted (at (700), 1, 1);
-    EXPECT_EQ (lease.take (at (700)), QuotaStep::pass) << "uses the first grant";
-    EXPECT_EQ (lease.take (at (900)), QuotaStep::pass) << "uses the second grant";
-    EXPECT_EQ (lease.take (at (900)), QuotaStep::wait);
-    EXPECT_EQ (lease.takeLapsed (at (900)), 4U);
+    lease.addGrant (at (0), 5, 1);
+    lease.addGrant (at (700), 1, 1);
+    EXPECT_EQ (lease.take (at (700)), QuotaDecision::pass) << "uses the first grant";
+    EXPECT_EQ (lease.take (at (900)), QuotaDecision::pass) << "uses the second grant";
+    EXPECT_EQ (lease.take (at (900)), QuotaDecision::wait);
+    EXPECT_EQ (lease.takeExpired (at (900)), 4U);
 }
 
 TEST (QuotaLease, ARequestPassedWithoutAKeeperReturnsNoToken)
 {
     QuotaLease lease;
-    lease.granted (at (0), 1, 30);
-    EXPECT_EQ (lease.takeAlone (at (500), { 100, 20 }, 10, 0), QuotaStep::pass);
+    lease.addGrant (at (0), 1, 30);
+    EXPECT_EQ (lease.takeWithoutKeeper (at (500), { 100, 20 }, 10, 0), QuotaDecision::pass);
     lease.giveBack (at (510), {});
-    EXPECT_EQ (lease.takeGranted (at (520)), QuotaStep::pass);
-    EXPECT_EQ (lease.takeGranted (at (520)), QuotaStep::wait);
+    EXPECT_EQ (lease.takeGranted (at (520)), QuotaDecision::pass);
+    EXPECT_EQ (lease.takeGranted (at (520)), QuotaDecision::wait);
 }
 
 /** @returns how many requests pass in five seconds without a keeper when 100 arrive per second. */
@@ -295,7 +296,9 @@
     int passed = 0;
 
     for (auto ms = fromMs; ms < fromMs + 5000; ms += 10)
-        passed += lease.takeAlone (at (ms), { 100, 20 }, nodes, 0.5) == QuotaStep::pass ? 1 : 0;
+        passed += lease.takeWithoutKeeper (at (ms), { 100, 20 }, nodes, 0.5) == QuotaDecision::pass
+                      ? 1
+                      : 0;
 
     return passed;
 }
@@ -303,8 +306,8 @@
 TEST (QuotaLease, UsesItsAssignedOrAnEqualShareWithoutAKeeper)
 {
     QuotaLease neverAnswered, answered, outdated;
-    answered.granted (at (0), 1, 30);
-    outdated.granted (at (0), 1, 30);
+    answered.addGrant (at (0), 1, 30);
+    outdated.addGrant (at (0), 1, 30);
     EXPECT_NEAR (passedWithoutKeeper (neverAnswered, 1000, 10), 25, 2) << "no tokens at the start";
     EXPECT_NEAR (passedWithoutKeeper (answered, 1000, 10), 165, 5);
     EXPECT_NEAR (passedWithoutKeeper (outdated, 16'000, 10), 30, 10);
@@ -316,12 +319,12 @@
     KeeperChoice choice;
     EXPECT_EQ (choice.next (at (0), candidates, {})->ip, "1");
     EXPECT_EQ (choice.next (at (0), candidates, { "1" })->ip, "2");
-    choice.silent (at (0), "1");
+    choice.markUnresponsive (at (0), "1");
     EXPECT_EQ (choice.next (at (100), candidates, {})->ip, "2");
     EXPECT_EQ (choice.next (at (100), candidates, { "2" }), nullptr);
     EXPECT_EQ (choice.next (at (600), candidates, {})->ip, "1");
-    choice.silent (at (600), "1");
-    choice.answered ("1");
+    choice.markUnresponsive (at (600), "1");
+    choice.markResponsive ("1");
     EXPECT_EQ (choice.next (at (601), candidates, {})->ip, "1");
 }
 
@@ -331,21 +334,21 @@
     EXPECT_EQ (time.current(), Milliseconds (40));
 
     for (int answer = 0; answer < 50; ++answer)
-        time.answered (Milliseconds (60));
+        time.recordAnswer (Milliseconds (60));
 
     EXPECT_NEAR (toMilliseconds (time.current()), 60, 5);
-    time.timedOut();
+    time.recordTimeOut();
     EXPECT_GT (time.current(), Milliseconds (110));
-    time.timedOut();
-    time.timedOut();
+    time.recordTimeOut();
+    time.recordTimeOut();
     EXPECT_EQ (time.current(), Milliseconds (200));
-    time.answered (Milliseconds (60));
+    time.recordAnswer (Milliseconds (60));
     EXPECT_LT (time.current(), Milliseconds (80));
 }
 
 TEST (QuotaMessage, RoundTripsAndRejectsInvalidDatagrams)
 {
-    const auto ask = decodeQuotaAsk (encode (QuotaAsk{ 5, "a", 7, 2, { 20, 10 } }));
+    const auto ask = decodeQuotaRequest (encode (QuotaRequest{ 5, "a", 7, 2, { 20, 10 } }));
     ASSERT_TRUE (ask);
     EXPECT_EQ (ask->tenant, "a");
     EXPECT_EQ (ask->wanted, 7U);
@@ -354,7 +357,7 @@
     const auto grant = decodeQuotaGrant (encode (QuotaGrant{ 5, 7, 20, "10.0.0.1", 3.5 }));
     ASSERT_TRUE (grant);
     EXPECT_EQ (grant->keeper, "10.0.0.1");
-    EXPECT_EQ (grant->alonePerSecond, 3.5);
+    EXPECT_EQ (grant->fallbackPerSecond, 3.5);
     const auto ping = decodeQuotaPing (encode (QuotaPing{ true, { { "a", 9 }, { "b", 10 } } }));
     ASSERT_TRUE (ping);
     EXPECT_TRUE (ping->isReply);
@@ -362,16 +365,16 @@
     EXPECT_EQ (ping->digests[1].tenant, "b");
     EXPECT_EQ (ping->digests[1].digest, 10U);
 
-    const auto bytes = encode (QuotaAsk{ 5, "a", 7, 2, { 20, 10 } });
+    const auto bytes = encode (QuotaRequest{ 5, "a", 7, 2, { 20, 10 } });
     EXPECT_FALSE (decodeQuotaGrant (bytes));
     EXPECT_FALSE (decodeQuotaPing (bytes));
-    EXPECT_FALSE (decodeQuotaAsk (encode (QuotaAsk{ 5, "a", 2'000'000, 0, { 20, 10 } })));
-    EXPECT_FALSE (decodeQuotaAsk (encode (QuotaAsk{ 5, "a", 7, 2, {} })))
+    EXPECT_FALSE (decodeQuotaRequest (encode (QuotaRequest{ 5, "a", 2'000'000, 0, { 20, 10 } })));
+    EXPECT_FALSE (decodeQuotaRequest (encode (QuotaRequest{ 5, "a", 7, 2, {} })))
         << "a quota without a rate";
     EXPECT_FALSE (decodeQuotaGrant (encode (QuotaGrant{ 5, 1, 0, "", -1 })));
 
     for (std::size_t length = 0; length < bytes.size(); ++length)
-        EXPECT_FALSE (decodeQuotaAsk (bytes.substr (0, length))) << length;
+        EXPECT_FALSE (decodeQuotaRequest (bytes.substr (0, length))) << length;
 }
 
 } // namespace
--- a/tests/mesh/reader_role_test.cc
+++ b/tests/mesh/reader_role_test.cc
@@ -13,7 +13,7 @@
 constexpr ReaderRank own{ 1, 50 }, better{ 1, 10 }, worse{ 1, 90 }, stronger{ 2, 90 },
     weaker{ 0, 1 };
 
-ReaderBeat heartbeat (ReaderRank rank, std::uint64_t number = 5, bool sound = true)
+ReaderHeartbeat heartbeat (ReaderRank rank, std::uint64_t number = 5, bool sound = true)
 {
     return { "other", "ank-a", rank, revision (number), 3, sound };
 }
@@ -32,19 +32,19 @@
 protected:
     Role()
     {
-        role.reached (at (0), revision (5), 3);
+        role.positionReached (at (0), revision (5), 3);
         role.decide (at (0) - Milliseconds (1));
         EXPECT_TRUE (role.decide (at (0)));
     }
 
     /** Receives the heartbeat every 250 ms. @returns true if the node reads at the end */
-    bool receive (const ReaderBeat& heartbeat, std::int64_t from, std::int64_t until)
+    bool receive (const ReaderHeartbeat& heartbeat, std::int64_t from, std::int64_t until)
     {
         bool reading = role.reading();
 
         for (auto now = from; now <= until; now += 250)
         {
-            role.heard (at (now), heartbeat);
+            role.heartbeatReceived (at (now), heartbeat);
             reading = role.decide (at (now));
         }
 
@@ -78,7 +78,7 @@
         return now;
     }
 
-    ReaderRole role{ "self", { topStrength, 50 }, {}, 7 };
+    ReaderRole role{ "self", { maxMachineStrength, 50 }, {}, 7 };
 };
 
 TEST_F (StartingRole, ReadsSoonWhenListedWithoutHeartbeats)
@@ -101,19 +101,19 @@
 {
     role.decide (at (0));
     role.listed (at (0));
-    role.heard (at (250), heartbeat ({ topStrength, 10 }));
-    role.reached (at (260), revision (5), 3); // The node fetches the reader's state.
+    role.heartbeatReceived (at (250), heartbeat ({ maxMachineStrength, 10 }));
+    role.positionReached (at (260), revision (5), 3); // The node fetches the reader's state.
 
     for (int now = 500; now <= 5000; now += 250)
     {
-        role.heard (at (now), heartbeat ({ topStrength, 10 }));
+        role.heartbeatReceived (at (now), heartbeat ({ maxMachineStrength, 10 }));
         EXPECT_FALSE (role.decide (at (now))) << now;
     }
 }
 
 TEST_F (StartingRole, StrongMachinesReadFirstWhenStartedTogether)
 {
-    ReaderRole weak{ "weak", { topStrength - 1, 1 }, {}, 8 };
+    ReaderRole weak{ "weak", { maxMachineStrength - 1, 1 }, {}, 8 };
 
     for (auto* starting : { &role, &weak })
     {
@@ -141,7 +141,7 @@
 {
     EXPECT_TRUE (receive (heartbeat (better, 9), 0, 500));
     EXPECT_TRUE (role.behind());
-    role.reached (at (500), revision (9), 3);
+    role.positionReached (at (500), revision (9), 3);
     EXPECT_FALSE (receive (heartbeat (better, 9), 500, 750));
 }
 
@@ -156,7 +156,7 @@
 TEST_F (Role, ReadsAgainAtOnceWhenTheReaderReportsAFailure)
 {
     ASSERT_FALSE (receive (heartbeat (better), 0, 1000));
-    role.heard (at (1000), heartbeat (better, 5, false));
+    role.heartbeatReceived (at (1000), heartbeat (better, 5, false));
     EXPECT_LE (readsFrom (1000), 1350);
 }
 
@@ -169,24 +169,24 @@
 TEST_F (Role, ReadsWhenAnotherNodeShowsALaterVersionForTooLong)
 {
     ASSERT_FALSE (receive (heartbeat (better), 0, 1000));
-    role.sawVersion (at (1000), 4);
+    role.recordVersion (at (1000), 4);
     EXPECT_FALSE (receive (heartbeat (better), 1000, 1250));
     EXPECT_TRUE (receive (heartbeat (better), 1500, 1500));
-    role.reached (at (1600), revision (6), 4);
+    role.positionReached (at (1600), revision (6), 4);
     EXPECT_FALSE (receive (heartbeat (better, 6), 1600, 1850));
 }
 
 TEST_F (Role, ReplacesAWeakerReaderAfterATimeout)
 {
     ReaderRole strong{ "self", stronger, {}, 7 };
-    strong.reached (at (0), revision (5), 3);
-    strong.heard (at (0), heartbeat ({ 3, 1 }));
+    strong.positionReached (at (0), revision (5), 3);
+    strong.heartbeatReceived (at (0), heartbeat ({ 3, 1 }));
     ASSERT_FALSE (strong.decide (at (0)));
     bool reading = false;
 
     for (int now = 250; now <= 3500; now += 250)
     {
-        strong.heard (at (now), heartbeat (weaker));
+        strong.heartbeatReceived (at (now), heartbeat (weaker));
         reading = strong.decide (at (now));
         EXPECT_TRUE (now > 2000 || ! reading) << now;
     }
@@ -211,7 +211,7 @@
 ReaderRoleSettings withPeerListing()
 {
     ReaderRoleSettings settings;
-    settings.mayLook = true;
+    settings.canListPeers = true;
     return settings;
 }
 
@@ -227,7 +227,8 @@
 {
     ReaderRole role ("own", own, withPeerListing(), 7);
     int listings = 0;
-    const auto readsAt = readsFromIn (role, [&] (auto) { listings += role.takeLook() ? 1 : 0; });
+    const auto readsAt =
+        readsFromIn (role, [&] (auto) { listings += role.takePeerListingRequest() ? 1 : 0; });
     EXPECT_EQ (listings, 1);
     EXPECT_GE (readsAt, 1500 + 500);
     EXPECT_LE (readsAt, 1500 + 1000 + 500 + 300 + 300 + 20)
@@ -240,7 +241,7 @@
     role.decide (at (0));
     role.listed (at (0));
     EXPECT_LE (readsFromIn (role, [] (auto) {}), 300 + 300 + 300 + 10);
-    EXPECT_FALSE (role.takeLook());
+    EXPECT_FALSE (role.takePeerListingRequest());
 }
 
 TEST (StartingFleetRole, WaitsForTheReaderThatItSubscribedTo)
@@ -272,7 +273,7 @@
 
     for (std::int64_t now = 750; now < 4000; now += 250)
     {
-        role.heard (at (now), heartbeat (better, 5, false));
+        role.heartbeatReceived (at (now), heartbeat (better, 5, false));
         reading = reading || role.decide (at (now));
     }
 
@@ -288,30 +289,30 @@
 
 TEST_F (Role, KnowsForHowLongAnotherNodeHasRunALaterVersion)
 {
-    role.reached (at (0), revision (5), 3);
-    role.sawVersion (at (10), 3);
-    EXPECT_EQ (role.seenLaterFor (at (100)), Duration (0));
-    role.sawVersion (at (100), 4);
-    role.sawVersion (at (150), 4);
-    EXPECT_EQ (role.seenLaterFor (at (160)), Milliseconds (60));
-    role.reached (at (170), revision (6), 4);
-    EXPECT_EQ (role.seenLaterFor (at (180)), Duration (0));
+    role.positionReached (at (0), revision (5), 3);
+    role.recordVersion (at (10), 3);
+    EXPECT_EQ (role.laterVersionSeenFor (at (100)), Duration (0));
+    role.recordVersion (at (100), 4);
+    role.recordVersion (at (150), 4);
+    EXPECT_EQ (role.laterVersionSeenFor (at (160)), Milliseconds (60));
+    role.positionReached (at (170), revision (6), 4);
+    EXPECT_EQ (role.laterVersionSeenFor (at (180)), Duration (0));
 }
 
 TEST (ReaderBeatCodec, RoundTripsAndRejectsStrayDatagrams)
 {
     const auto bytes = encode (heartbeat (better, 77));
-    const auto read = decodeReaderBeat (bytes);
+    const auto read = decodeReaderHeartbeat (bytes);
     ASSERT_TRUE (read);
-    EXPECT_EQ (read->at, revision (77));
+    EXPECT_EQ (read->position, revision (77));
     EXPECT_EQ (read->zone, "ank-a");
     EXPECT_EQ (read->rank.hash, better.hash);
-    EXPECT_TRUE (read->sound);
+    EXPECT_TRUE (read->healthy);
     EXPECT_TRUE (read->reads);
 
     for (const auto& stray : { std::string(), std::string ("hello, who is there?"),
                                bytes.substr (0, bytes.size() - 1), "x" + bytes })
-        EXPECT_FALSE (decodeReaderBeat (stray));
+        EXPECT_FALSE (decodeReaderHeartbeat (stray));
 }
 
 } // namespace
--- a/tests/mesh/recent_answers_test.cc
+++ b/tests/mesh/recent_answers_test.cc
@@ -34,11 +34,11 @@
 {
     RecentAnswers answers;
 
-    for (std::uint64_t number = 0; number <= RecentAnswers::mostRemembered; ++number)
+    for (std::uint64_t number = 0; number <= RecentAnswers::maxPerGeneration; ++number)
         answers.observe (at (0), { number, 0 });
 
-    EXPECT_TRUE (answers.contains (at (1), { RecentAnswers::mostRemembered - 1, 0 }));
-    EXPECT_FALSE (answers.contains (at (1), { RecentAnswers::mostRemembered, 0 }));
+    EXPECT_TRUE (answers.contains (at (1), { RecentAnswers::maxPerGeneration - 1, 0 }));
+    EXPECT_FALSE (answers.contains (at (1), { RecentAnswers::maxPerGeneration, 0 }));
 }
 
 } // namespace
--- a/tests/mesh/restored_source_follower_test.cc
+++ b/tests/mesh/restored_source_follower_test.cc
@@ -23,7 +23,7 @@
     RestoredSourceFollower()
     {
         follower.poll (at (0));
-        follower.answered (at (1), answer (SourceReply::entries, { 1, 20 }));
+        follower.handleAnswer (at (1), answer (SourceReply::entries, { 1, 20 }));
         follower.poll (at (1));
     }
 
@@ -46,13 +46,14 @@
 
 TEST_F (RestoredSourceFollower, ListsOnceAndContinuesFromTheLowerRevision)
 {
-    follower.answered (at (100), answer (SourceReply::historyLost, { 2, 0 }));
+    follower.handleAnswer (at (100), answer (SourceReply::historyLost, { 2, 0 }));
     EXPECT_EQ (pollWithin (100)->call, SourceCall::list);
     EXPECT_LE (polledAt, 400);
-    const auto update = follower.answered (at (polledAt), answer (SourceReply::entries, { 2, 15 }));
+    const auto update =
+        follower.handleAnswer (at (polledAt), answer (SourceReply::entries, { 2, 15 }));
     ASSERT_TRUE (update);
     EXPECT_TRUE (update->complete);
-    EXPECT_EQ (update->at, (SourcePosition{ 2, 15 }));
+    EXPECT_EQ (update->position, (SourcePosition{ 2, 15 }));
     const auto watch = pollWithin (polledAt);
     EXPECT_EQ (watch->call, SourceCall::watch);
     EXPECT_EQ (watch->afterRevision, 15U);
@@ -60,33 +61,33 @@
 
 TEST_F (RestoredSourceFollower, ListsWhenItsRevisionWasReused)
 {
-    EXPECT_FALSE (follower.answered (at (100), answer (SourceReply::entries, { 2, 25 })));
+    EXPECT_FALSE (follower.handleAnswer (at (100), answer (SourceReply::entries, { 2, 25 })));
     EXPECT_EQ (pollWithin (100)->call, SourceCall::list);
 }
 
 TEST_F (RestoredSourceFollower, DetectsARestoreByARefusedCall)
 {
-    follower.answered (at (100), answer (SourceReply::refused, { 2, 0 }));
+    follower.handleAnswer (at (100), answer (SourceReply::refused, { 2, 0 }));
     EXPECT_TRUE (pollWithin (100));
-    EXPECT_FALSE (follower.answered (at (polledAt), answer (SourceReply::entries, { 2, 21 })));
+    EXPECT_FALSE (follower.handleAnswer (at (polledAt), answer (SourceReply::entries, { 2, 21 })));
     EXPECT_EQ (pollWithin (polledAt)->call, SourceCall::list);
 }
 
 TEST_F (RestoredSourceFollower, DoesNotTrustAbsenceRightAfterARestore)
 {
-    EXPECT_TRUE (follower.sound (at (99)));
-    follower.answered (at (100), answer (SourceReply::historyLost, { 2, 0 }));
-    EXPECT_FALSE (follower.sound (at (2000)));
-    EXPECT_TRUE (follower.sound (at (2700)));
+    EXPECT_TRUE (follower.canTrustAbsence (at (99)));
+    follower.handleAnswer (at (100), answer (SourceReply::historyLost, { 2, 0 }));
+    EXPECT_FALSE (follower.canTrustAbsence (at (2000)));
+    EXPECT_TRUE (follower.canTrustAbsence (at (2700)));
 }
 
 TEST_F (RestoredSourceFollower, IgnoresAnAnswerOfAnEarlierEpoch)
 {
-    follower.overtaken (at (10), { 2, 15 });
+    follower.positionReceived (at (10), { 2, 15 });
 
     for (const auto reply : { SourceReply::entries, SourceReply::historyLost })
     {
-        EXPECT_FALSE (follower.answered (at (100), answer (reply, { 1, 30 })));
+        EXPECT_FALSE (follower.handleAnswer (at (100), answer (reply, { 1, 30 })));
         const auto watch = pollWithin (100);
         EXPECT_EQ (watch->call, SourceCall::watch);
         EXPECT_EQ (watch->afterRevision, 15U);
@@ -95,18 +96,18 @@
 
 TEST_F (RestoredSourceFollower, IgnoresAWatchThatStartedInAnEarlierEpoch)
 {
-    follower.overtaken (at (10), { 2, 15 });
-    EXPECT_FALSE (follower.answered (at (100), answer (SourceReply::entries, { 2, 25 })));
+    follower.positionReceived (at (10), { 2, 15 });
+    EXPECT_FALSE (follower.handleAnswer (at (100), answer (SourceReply::entries, { 2, 25 })));
     EXPECT_EQ (pollWithin (100)->afterRevision, 15U);
 }
 
 TEST_F (RestoredSourceFollower, DiscardsAListingWithPagesOfTwoEpochs)
 {
-    follower.answered (at (100), answer (SourceReply::historyLost, { 1, 0 }));
+    follower.handleAnswer (at (100), answer (SourceReply::historyLost, { 1, 0 }));
     follower.poll (at (100));
-    EXPECT_FALSE (follower.answered (at (101), answer (SourceReply::entries, { 1, 21 }, true)));
+    EXPECT_FALSE (follower.handleAnswer (at (101), answer (SourceReply::entries, { 1, 21 }, true)));
     follower.poll (at (101));
-    EXPECT_FALSE (follower.answered (at (102), answer (SourceReply::entries, { 2, 15 })));
+    EXPECT_FALSE (follower.handleAnswer (at (102), answer (SourceReply::entries, { 2, 15 })));
     const auto list = pollWithin (102);
     EXPECT_EQ (list->call, SourceCall::list);
     EXPECT_TRUE (list->afterKey.empty());
@@ -114,7 +115,7 @@
 
 TEST_F (RestoredSourceFollower, ListsWhenResumedFromAnEarlierEpoch)
 {
-    follower.answered (at (100), answer (SourceReply::historyLost, { 2, 0 }));
+    follower.handleAnswer (at (100), answer (SourceReply::historyLost, { 2, 0 }));
     follower.pause ({ 1, 20 });
     EXPECT_FALSE (pollWithin (200));
     follower.resume (at (2000), { 1, 20 });
@@ -125,7 +126,7 @@
 {
     int calls = 0;
     std::int64_t now = 100;
-    follower.answered (at (now), answer (SourceReply::historyLost, { 1, 0 }));
+    follower.handleAnswer (at (now), answer (SourceReply::historyLost, { 1, 0 }));
 
     for (; now < 5000; now += 5)
         if (const auto request = follower.poll (at (now)))
@@ -133,7 +134,7 @@
             ++calls;
             const auto reply = request->call == SourceCall::watch ? SourceReply::historyLost
                                                                   : SourceReply::entries;
-            follower.answered (at (now), answer (reply, { 1, 10 }));
+            follower.handleAnswer (at (now), answer (reply, { 1, 10 }));
         }
 
     EXPECT_LE (calls, 40);
@@ -141,11 +142,13 @@
 
 TEST (RestoredSourceRole, AReaderOfAnEarlierEpochIsNotAhead)
 {
-    ReaderRole role ("own", { topStrength, 5 }, {}, 1);
-    role.reached (at (0), { 2, 16 }, 3);
-    role.heard (at (0), { "other", "z", { topStrength, 1 }, { 1, 500 }, 3, true });
+    ReaderRole role ("own", { maxMachineStrength, 5 }, {}, 1);
+    role.positionReached (at (0), { 2, 16 }, 3);
+    role.heartbeatReceived (at (0),
+                            { "other", "z", { maxMachineStrength, 1 }, { 1, 500 }, 3, true });
     EXPECT_FALSE (role.behind());
-    role.heard (at (1), { "other", "z", { topStrength, 1 }, { 2, 17 }, 3, true });
+    role.heartbeatReceived (at (1),
+                            { "other", "z", { maxMachineStrength, 1 }, { 2, 17 }, 3, true });
     EXPECT_TRUE (role.behind());
 }
 
--- a/tests/mesh/restored_source_state_test.cc
+++ b/tests/mesh/restored_source_state_test.cc
@@ -26,7 +26,7 @@
     void put (const std::string& id, std::uint64_t number, std::uint64_t born = 0)
     {
         auto instance = makeInstance (id, "z1", id[0] - 'a' + 1, number);
-        instance.born = born;
+        instance.startTimeMs = born;
         entries[id] = { instance, { 0, number }, false, true };
     }
 
@@ -40,7 +40,7 @@
     InstanceChange removal()
     {
         auto change = entries["a"];
-        change.gone = true;
+        change.removed = true;
         return change;
     }
 
@@ -56,7 +56,7 @@
     {
         MeshUpdate update;
         update.complete = true;
-        update.at = position;
+        update.position = position;
 
         for (auto [id, entry] : entries)
         {
@@ -73,7 +73,7 @@
     static MeshUpdate event (InstanceChange change, SourcePosition position)
     {
         MeshUpdate update;
-        update.at = change.position = position;
+        update.position = change.position = position;
         update.instances = { std::move (change) };
         return update;
     }
@@ -202,7 +202,7 @@
     node.take (at (1), listing ({ 1, 21 }, 6));
     put ("a", 5, 1000);
     node.take (at (2), listing ({ 2, 15 }, 6));
-    EXPECT_EQ (node.directory().snapshot()->byService.at ("desk")[0].instance.born, 2000U);
+    EXPECT_EQ (node.directory().snapshot()->byService.at ("desk")[0].instance.startTimeMs, 2000U);
     EXPECT_EQ (usable (node), (Ids{ "a", "b" }));
     put ("a", 16, 2000);
     node.take (at (3), event (entries["a"], { 2, 16 }));
@@ -223,7 +223,7 @@
 MeshUpdate evacuationOrder (SourcePosition position, bool over)
 {
     MeshUpdate update;
-    update.at = position;
+    update.position = position;
     update.evacuations = { { "z1", position, over } };
     return update;
 }
@@ -263,7 +263,7 @@
     auto copy = listing ({ 2, 21 }, 6);
     copy.evacuations = { { "z1", { 2, 21 }, false } };
     node.take (at (3), copy);
-    copy.at.revision = 22;
+    copy.position.revision = 22;
     node.take (at (4), copy);
     EXPECT_EQ (usable (node).size(), 2U);
     node.take (at (5), evacuationOrder ({ 2, 23 }, false));
--- a/tests/mesh/retry_budget_test.cc
+++ b/tests/mesh/retry_budget_test.cc
@@ -42,7 +42,7 @@
 {
     int count = 0;
 
-    while (budget.take (at (time), 1, highestClaim))
+    while (budget.trySpend (at (time), 1, highestClaim))
         ++count;
 
     return count;
@@ -77,7 +77,7 @@
         budget.countRequest (at (n), 0.2);
 
     EXPECT_EQ (spendAll (budget, 100), 0);
-    EXPECT_LT (budget.left (at (100), 1), 0);
+    EXPECT_LT (budget.remaining (at (100), 1), 0);
 }
 
 TEST (MeshRetryBudget, ARestartedNodeTakesTheSlackThatItsPredecessorCouldNotSpend)
@@ -102,21 +102,21 @@
 {
     const RetryClaim noClientRetry{ true, 2 }, urgent{ false, 1 }, other{ false, 2 };
     RetryBudget budget (slackOnly (4));
-    EXPECT_TRUE (budget.take (at (0), 1, noClientRetry));
-    EXPECT_TRUE (budget.take (at (100), 1, urgent)) << "three are left, one is reserved";
-    EXPECT_FALSE (budget.take (at (200), 1, other)) << "two are left, two are reserved";
-    EXPECT_FALSE (budget.take (at (200), 1, hedgeClaim));
-    EXPECT_TRUE (budget.take (at (300), 1, noClientRetry));
-    EXPECT_TRUE (budget.take (at (400), 1, noClientRetry));
-    EXPECT_FALSE (budget.take (at (500), 1, noClientRetry));
+    EXPECT_TRUE (budget.trySpend (at (0), 1, noClientRetry));
+    EXPECT_TRUE (budget.trySpend (at (100), 1, urgent)) << "three are left, one is reserved";
+    EXPECT_FALSE (budget.trySpend (at (200), 1, other)) << "two are left, two are reserved";
+    EXPECT_FALSE (budget.trySpend (at (200), 1, hedgeClaim));
+    EXPECT_TRUE (budget.trySpend (at (300), 1, noClientRetry));
+    EXPECT_TRUE (budget.trySpend (at (400), 1, noClientRetry));
+    EXPECT_FALSE (budget.trySpend (at (500), 1, noClientRetry));
 }
 
 TEST (MeshRetryBudget, NothingIsReservedWithoutClaims)
 {
     RetryBudget budget (slackOnly (3));
-    EXPECT_TRUE (budget.take (at (0), 1, hedgeClaim));
-    EXPECT_TRUE (budget.take (at (0), 1, { false, 2 }));
-    EXPECT_TRUE (budget.take (at (0), 1, { true, 0 }));
+    EXPECT_TRUE (budget.trySpend (at (0), 1, hedgeClaim));
+    EXPECT_TRUE (budget.trySpend (at (0), 1, { false, 2 }));
+    EXPECT_TRUE (budget.trySpend (at (0), 1, { true, 0 }));
 }
 
 /** A fleet that shares one budget, with its requests and retries counted per tenth of a second. */
@@ -190,7 +190,7 @@
             node.budget.countRequest (at (when));
             ++requests.back();
 
-            while (node.budget.take (at (when), nodes.size(), highestClaim))
+            while (node.budget.trySpend (at (when), nodes.size(), highestClaim))
                 ++spent.back();
         }
     }
@@ -329,7 +329,7 @@
 
     bool grantsRetry (std::size_t node, int time, const RetryClaim& claim)
     {
-        return nodes[node].take (at (time), nodes.size(), equalClaims ? RetryClaim{} : claim);
+        return nodes[node].trySpend (at (time), nodes.size(), equalClaims ? RetryClaim{} : claim);
     }
 
     std::mt19937 random{ 4 };
--- a/tests/mesh/return_share_test.cc
+++ b/tests/mesh/return_share_test.cc
@@ -10,23 +10,23 @@
 void refuse (ReturnShare& share, const std::string& route, int count)
 {
     for (int n = 0; n < count; ++n)
-        share.refused (route);
+        share.recordRefusal (route);
 }
 
 TEST (ReturnShare, ClientsAreExpectedToRetryWhileTooLittleIsKnown)
 {
     ReturnShare share;
-    EXPECT_TRUE (share.comesBack ("lookup"));
+    EXPECT_TRUE (share.expectsClientRetry ("lookup"));
     refuse (share, "lookup", 3);
-    EXPECT_TRUE (share.comesBack ("lookup"));
+    EXPECT_TRUE (share.expectsClientRetry ("lookup"));
 }
 
 TEST (ReturnShare, ClientsThatNeverRetryAreNotExpectedTo)
 {
     ReturnShare share;
     refuse (share, "call", 4);
-    EXPECT_FALSE (share.comesBack ("call"));
-    EXPECT_TRUE (share.comesBack ("lookup"));
+    EXPECT_FALSE (share.expectsClientRetry ("call"));
+    EXPECT_TRUE (share.expectsClientRetry ("lookup"));
 }
 
 TEST (ReturnShare, ClientsThatOftenRetryAreExpectedTo)
@@ -36,10 +36,10 @@
     for (int n = 0; n < 50; ++n)
     {
         refuse (share, "lookup", 2);
-        share.returned ("lookup");
+        share.recordRetry ("lookup");
     }
 
-    EXPECT_TRUE (share.comesBack ("lookup"));
+    EXPECT_TRUE (share.expectsClientRetry ("lookup"));
 }
 
 TEST (ReturnShare, OldObservationsAreForgotten)
@@ -49,11 +49,11 @@
     for (int n = 0; n < 100; ++n)
     {
         refuse (share, "lookup", 1);
-        share.returned ("lookup");
+        share.recordRetry ("lookup");
     }
 
     refuse (share, "lookup", 1000);
-    EXPECT_FALSE (share.comesBack ("lookup"));
+    EXPECT_FALSE (share.expectsClientRetry ("lookup"));
 }
 
 } // namespace
--- a/tests/mesh/sleep_watch_test.cc
+++ b/tests/mesh/sleep_watch_test.cc
@@ -19,28 +19,28 @@
 TEST (SleepWatch, ReportsThePauseAndTheSuspendedPart)
 {
     SleepWatch detector;
-    EXPECT_FALSE (detector.look (at (0), Milliseconds (70'000), interval));
-    EXPECT_FALSE (detector.look (at (250), Milliseconds (70'000), interval));
-    const auto pause = detector.look (at (500 + pauseMs), Milliseconds (74'000), interval);
+    EXPECT_FALSE (detector.check (at (0), Milliseconds (70'000), interval));
+    EXPECT_FALSE (detector.check (at (250), Milliseconds (70'000), interval));
+    const auto pause = detector.check (at (500 + pauseMs), Milliseconds (74'000), interval);
     ASSERT_TRUE (pause);
-    EXPECT_EQ (pause->asleep, Milliseconds (pauseMs));
+    EXPECT_EQ (pause->pauseDuration, Milliseconds (pauseMs));
     EXPECT_EQ (pause->suspended, Milliseconds (4000));
-    EXPECT_FALSE (detector.look (at (750 + pauseMs), Milliseconds (74'000), interval));
+    EXPECT_FALSE (detector.check (at (750 + pauseMs), Milliseconds (74'000), interval));
 }
 
 TEST (SleepWatch, IgnoresShortDelaysOnABusyMachine)
 {
     SleepWatch detector;
-    detector.look (at (0), {}, interval);
-    EXPECT_FALSE (detector.look (at (1249), {}, interval));
+    detector.check (at (0), {}, interval);
+    EXPECT_FALSE (detector.check (at (1249), {}, interval));
 }
 
 TEST (AfterASleep, AGrantHasExpired)
 {
     QuotaLease lease;
-    lease.granted (at (0), 10, 5);
-    EXPECT_EQ (lease.take (at (10)), QuotaStep::pass);
-    EXPECT_EQ (lease.take (at (10 + pauseMs)), QuotaStep::wait);
+    lease.addGrant (at (0), 10, 5);
+    EXPECT_EQ (lease.take (at (10)), QuotaDecision::pass);
+    EXPECT_EQ (lease.take (at (10 + pauseMs)), QuotaDecision::wait);
 }
 
 TEST (AfterASleep, AnInstanceThatLapsedBeforeIsNoLongerUsable)
--- a/tests/mesh/source_follower_test.cc
+++ b/tests/mesh/source_follower_test.cc
@@ -30,7 +30,7 @@
     Following()
     {
         EXPECT_EQ (follower.poll (at (0))->call, SourceCall::list);
-        EXPECT_TRUE (follower.answered (at (5), page ({ entry ("a", 3) }, 7))->complete);
+        EXPECT_TRUE (follower.handleAnswer (at (5), page ({ entry ("a", 3) }, 7))->complete);
     }
 
     SourceFollower follower{ {}, 1 };
@@ -40,10 +40,10 @@
 {
     SourceFollower follower ({}, 1);
     EXPECT_TRUE (follower.poll (at (0))->afterKey.empty());
-    EXPECT_FALSE (follower.answered (at (1), page ({ entry ("a", 3) }, 7, true)));
+    EXPECT_FALSE (follower.handleAnswer (at (1), page ({ entry ("a", 3) }, 7, true)));
     EXPECT_FALSE (follower.hasListed());
     EXPECT_EQ (follower.poll (at (1))->afterKey, "a");
-    const auto update = follower.answered (at (2), page ({ entry ("b", 9) }, 9));
+    const auto update = follower.handleAnswer (at (2), page ({ entry ("b", 9) }, 9));
     ASSERT_TRUE (update);
     EXPECT_TRUE (update->complete);
     EXPECT_EQ (update->entries.size(), 2U);
@@ -62,15 +62,15 @@
 TEST_F (Following, AnEmptyWatchReturnsNoUpdateAndContinuesFromItsRevision)
 {
     follower.poll (at (5));
-    EXPECT_FALSE (follower.answered (at (1500), page ({}, 8)));
+    EXPECT_FALSE (follower.handleAnswer (at (1500), page ({}, 8)));
     EXPECT_EQ (follower.poll (at (1500))->afterRevision, 8U);
-    EXPECT_TRUE (follower.sound (at (1500)));
+    EXPECT_TRUE (follower.canTrustAbsence (at (1500)));
 }
 
 TEST_F (Following, LostHistoryListsAgain)
 {
     follower.poll (at (5));
-    EXPECT_FALSE (follower.answered (at (10), failure (SourceReply::historyLost)));
+    EXPECT_FALSE (follower.handleAnswer (at (10), failure (SourceReply::historyLost)));
     EXPECT_EQ (follower.poll (at (10))->call, SourceCall::list);
 }
 
@@ -78,7 +78,7 @@
 {
     const auto watch = follower.poll (at (5));
     EXPECT_LE (watch->timeout, Milliseconds (2500));
-    follower.answered (at (2500), failure (SourceReply::failed));
+    follower.handleAnswer (at (2500), failure (SourceReply::failed));
     EXPECT_TRUE (follower.failing());
     const auto again = follower.poll (at (2700));
     ASSERT_TRUE (again);
@@ -92,7 +92,7 @@
     for (int failures = 0; failures < 20; ++failures)
     {
         ASSERT_TRUE (follower.poll (now));
-        follower.answered (now, failure (SourceReply::refused));
+        follower.handleAnswer (now, failure (SourceReply::refused));
         EXPECT_LE (follower.nextDue() - now, Milliseconds (400));
         EXPECT_GT (follower.nextDue(), now);
         now = follower.nextDue();
@@ -102,20 +102,20 @@
 TEST_F (Following, DoesNotTrustAbsenceRightAfterAFailure)
 {
     follower.poll (at (5));
-    follower.answered (at (10), failure (SourceReply::failed));
+    follower.handleAnswer (at (10), failure (SourceReply::failed));
     follower.poll (at (1000));
-    follower.answered (at (1010), page ({}, 8));
+    follower.handleAnswer (at (1010), page ({}, 8));
     EXPECT_FALSE (follower.failing());
-    EXPECT_FALSE (follower.sound (at (1010)));
-    EXPECT_TRUE (follower.sound (at (4100)));
+    EXPECT_FALSE (follower.canTrustAbsence (at (1010)));
+    EXPECT_TRUE (follower.canTrustAbsence (at (4100)));
 }
 
 TEST_F (Following, ExpeditesOnlyAWatchOfAMinimumAge)
 {
-    EXPECT_FALSE (follower.hurry (at (5))); // No watch is pending.
+    EXPECT_FALSE (follower.expediteWatch (at (5))); // No watch is pending.
     follower.poll (at (5));
-    EXPECT_FALSE (follower.hurry (at (100)));
-    EXPECT_TRUE (follower.hurry (at (300)));
+    EXPECT_FALSE (follower.expediteWatch (at (100)));
+    EXPECT_TRUE (follower.expediteWatch (at (300)));
     EXPECT_EQ (follower.poll (at (300))->afterRevision, 7U);
     EXPECT_FALSE (follower.failing());
 }
@@ -123,32 +123,32 @@
 TEST_F (Following, WatchesThatEndImmediatelyKeepTheMinimumInterval)
 {
     EXPECT_TRUE (follower.poll (at (5)));
-    EXPECT_TRUE (follower.answered (at (9), page ({ entry ("a", 8) }, 8)));
+    EXPECT_TRUE (follower.handleAnswer (at (9), page ({ entry ("a", 8) }, 8)));
     EXPECT_FALSE (follower.poll (at (204)));
     EXPECT_EQ (follower.nextDue(), at (205));
     EXPECT_EQ (follower.poll (at (205))->afterRevision, 8U);
     // A watch that took longer than the interval is followed by the next one immediately.
-    follower.answered (at (700), page ({ entry ("a", 9) }, 9));
+    follower.handleAnswer (at (700), page ({ entry ("a", 9) }, 9));
     EXPECT_TRUE (follower.poll (at (700)));
 }
 
 TEST_F (Following, ALaterVersionElsewhereEndsTheIntervalBetweenWatches)
 {
-    EXPECT_FALSE (follower.hurry (at (5))) << "the watch is due already";
+    EXPECT_FALSE (follower.expediteWatch (at (5))) << "the watch is due already";
     EXPECT_TRUE (follower.poll (at (5)));
-    EXPECT_TRUE (follower.answered (at (9), page ({ entry ("a", 8) }, 8)));
-    EXPECT_TRUE (follower.hurry (at (20)));
+    EXPECT_TRUE (follower.handleAnswer (at (9), page ({ entry ("a", 8) }, 8)));
+    EXPECT_TRUE (follower.expediteWatch (at (20)));
     EXPECT_TRUE (follower.poll (at (20)));
 }
 
 TEST_F (Following, PausedItAsksForNothingAndIsNeverDue)
 {
     follower.poll (at (5));
-    follower.answered (at (10), failure (SourceReply::refused));
+    follower.handleAnswer (at (10), failure (SourceReply::refused));
     follower.pause();
     EXPECT_EQ (follower.nextDue(), Timestamp::max());
     EXPECT_FALSE (follower.poll (at (60'000)));
-    EXPECT_FALSE (follower.reached (at (60'000)));
+    EXPECT_FALSE (follower.isSourceReachable (at (60'000)));
 }
 
 TEST_F (Following, ResumesFromThePositionReachedWithAnImmediateWatch)
@@ -160,8 +160,8 @@
     EXPECT_EQ (first->call, SourceCall::watch);
     EXPECT_EQ (first->afterRevision, 40U);
     EXPECT_EQ (first->wait, Milliseconds (0));
-    follower.answered (at (9010), page ({}, 41));
-    EXPECT_TRUE (follower.reached (at (9010)));
+    follower.handleAnswer (at (9010), page ({}, 41));
+    EXPECT_TRUE (follower.isSourceReachable (at (9010)));
     const auto next = follower.poll (follower.nextDue());
     ASSERT_TRUE (next);
     EXPECT_GT (next->wait, Milliseconds (0));
@@ -170,11 +170,11 @@
 TEST_F (Following, AfterAFailureTheNextWatchIsAnsweredAtOnceAndTold)
 {
     follower.poll (at (5));
-    follower.answered (at (10), failure (SourceReply::refused));
+    follower.handleAnswer (at (10), failure (SourceReply::refused));
     const auto again = follower.poll (at (1000));
     EXPECT_EQ (again->wait, Milliseconds (0));
     EXPECT_EQ (again->cause, SourceCallCause::retry);
-    EXPECT_TRUE (follower.answered (at (1005), page ({}, 7)));
+    EXPECT_TRUE (follower.handleAnswer (at (1005), page ({}, 7)));
 }
 
 /** A follower of a node that doesn't read, before its first listing. */
@@ -198,7 +198,7 @@
     ASSERT_TRUE (list);
     EXPECT_EQ (list->call, SourceCall::list);
     EXPECT_TRUE (list->mayBeStale);
-    EXPECT_TRUE (follower->answered (at (5), page ({ entry ("a", 3) }, 7))->complete);
+    EXPECT_TRUE (follower->handleAnswer (at (5), page ({ entry ("a", 3) }, 7))->complete);
     EXPECT_FALSE (follower->poll (at (60'000)));
     EXPECT_EQ (follower->lastSuccess(), Timestamp{})
         << "a stale answer doesn't show that the source is reachable";
@@ -207,10 +207,10 @@
 TEST_F (PausedAtStart, UsesOnlyTheEntryRevisionsOfAStaleListing)
 {
     follower->poll (at (0));
-    follower->answered (at (1), page ({ entry ("a", 3), entry ("b", 6) }, 9, true));
+    follower->handleAnswer (at (1), page ({ entry ("a", 3), entry ("b", 6) }, 9, true));
     EXPECT_EQ (follower->poll (at (1))->cause, SourceCallCause::page);
-    const auto update = follower->answered (at (2), page ({ entry ("c", 5) }, 9));
-    EXPECT_EQ (update->at, revision (5));
+    const auto update = follower->handleAnswer (at (2), page ({ entry ("c", 5) }, 9));
+    EXPECT_EQ (update->position, revision (5));
     follower->resume (at (10), revision (0));
     EXPECT_EQ (follower->poll (at (10))->afterRevision, 5U);
 }
@@ -218,7 +218,7 @@
 TEST_F (PausedAtStart, AnEmptyStaleListingIsRepeatedLater)
 {
     follower->poll (at (0));
-    follower->answered (at (1), page ({}, 9));
+    follower->handleAnswer (at (1), page ({}, 9));
     EXPECT_FALSE (follower->hasListed());
     EXPECT_FALSE (follower->poll (at (400)));
     EXPECT_TRUE (follower->poll (at (500))->mayBeStale);
@@ -227,37 +227,37 @@
 TEST_F (Following, ALostHistoryIsNoFailureUntilItsListingIsLate)
 {
     follower.poll (at (10));
-    follower.answered (at (1510), page ({}, 9));
+    follower.handleAnswer (at (1510), page ({}, 9));
     follower.poll (at (1510));
-    follower.answered (at (2000), failure (SourceReply::historyLost));
-    EXPECT_TRUE (follower.reached (at (2100)));
-    EXPECT_FALSE (follower.reached (at (1510 + 200 + 1500 + 600 + 1)));
+    follower.handleAnswer (at (2000), failure (SourceReply::historyLost));
+    EXPECT_TRUE (follower.isSourceReachable (at (2100)));
+    EXPECT_FALSE (follower.isSourceReachable (at (1510 + 200 + 1500 + 600 + 1)));
     EXPECT_EQ (follower.poll (at (2000))->call, SourceCall::list);
-    follower.answered (at (2100), failure (SourceReply::refused));
-    EXPECT_FALSE (follower.reached (at (2101)));
+    follower.handleAnswer (at (2100), failure (SourceReply::refused));
+    EXPECT_FALSE (follower.isSourceReachable (at (2101)));
 }
 
 TEST_F (PausedAtStart, ListsAgainWithAStaleAnswerAndThenSendsNothing)
 {
     follower->poll (at (0));
     follower->lookAgain (at (0)); // This has no effect while the first listing is pending.
-    follower->answered (at (1), page ({ entry ("a", 3) }, 7));
+    follower->handleAnswer (at (1), page ({ entry ("a", 3) }, 7));
     follower->lookAgain (at (1500));
     const auto look = follower->poll (at (1500));
     ASSERT_TRUE (look);
-    EXPECT_EQ (look->cause, SourceCallCause::look);
+    EXPECT_EQ (look->cause, SourceCallCause::refresh);
     EXPECT_TRUE (look->mayBeStale);
     const auto update =
-        follower->answered (at (1510), page ({ entry ("a", 3), entry ("b", 9) }, 9));
+        follower->handleAnswer (at (1510), page ({ entry ("a", 3), entry ("b", 9) }, 9));
     ASSERT_TRUE (update);
-    EXPECT_EQ (update->at, revision (9));
+    EXPECT_EQ (update->position, revision (9));
     EXPECT_FALSE (follower->poll (at (60'000)));
 }
 
 TEST_F (PausedAtStart, ARepeatedListingIsDroppedWhenReadingStarts)
 {
     follower->poll (at (0));
-    follower->answered (at (1), page ({ entry ("a", 3) }, 7));
+    follower->handleAnswer (at (1), page ({ entry ("a", 3) }, 7));
     follower->lookAgain (at (1500));
     follower->poll (at (1500));
     EXPECT_TRUE (follower->resume (at (1600), revision (5)));
@@ -269,7 +269,7 @@
 TEST_F (PausedAtStart, AReaderWithoutAListingRequestsACurrentOne)
 {
     follower->poll (at (0));
-    follower->answered (at (1), page ({}, 9));
+    follower->handleAnswer (at (1), page ({}, 9));
     follower->resume (at (100), revision (0));
     const auto list = follower->poll (at (100));
     EXPECT_EQ (list->call, SourceCall::list);
@@ -279,10 +279,10 @@
 TEST_F (PausedAtStart, ListingsAfterALostHistoryAreCurrent)
 {
     follower->poll (at (0));
-    follower->answered (at (1), page ({ entry ("a", 3) }, 7));
+    follower->handleAnswer (at (1), page ({ entry ("a", 3) }, 7));
     follower->resume (at (10), revision (0));
     follower->poll (at (10));
-    follower->answered (at (11), failure (SourceReply::historyLost));
+    follower->handleAnswer (at (11), failure (SourceReply::historyLost));
     const auto list = follower->poll (at (11));
     EXPECT_FALSE (list->mayBeStale);
     EXPECT_EQ (list->cause, SourceCallCause::historyLost);
@@ -291,7 +291,7 @@
 TEST_F (PausedAtStart, AnUpdateFromAPeerEndsARefusedListing)
 {
     follower->poll (at (0));
-    follower->answered (at (1), failure (SourceReply::refused));
+    follower->handleAnswer (at (1), failure (SourceReply::refused));
     follower->poll (at (500));
     EXPECT_TRUE (follower->pause (revision (40))) << "the pending request is dropped";
     EXPECT_FALSE (follower->poll (at (60'000)));
@@ -301,9 +301,9 @@
 
 TEST_F (PausedAtStart, TheRetryIntervalSeparatesCallsToAFailingSource)
 {
-    follower->setTryInterval (Milliseconds (4000));
+    follower->setMinRetryInterval (Milliseconds (4000));
     follower->poll (at (0));
-    follower->answered (at (0), failure (SourceReply::refused));
+    follower->handleAnswer (at (0), failure (SourceReply::refused));
     EXPECT_GE (follower->nextDue(), at (2000));
     EXPECT_LE (follower->nextDue(), at (4000));
 }
@@ -311,12 +311,13 @@
 TEST_F (Following, AWatchIsRestartedFromALaterPositionOfAnotherNode)
 {
     EXPECT_EQ (follower.poll (at (10))->afterRevision, 7U);
-    EXPECT_FALSE (follower.overtaken (at (300), revision (7))) << "the position isn't later";
-    EXPECT_TRUE (follower.overtaken (at (300), revision (12)));
+    EXPECT_FALSE (follower.positionReceived (at (300), revision (7))) << "the position isn't later";
+    EXPECT_TRUE (follower.positionReceived (at (300), revision (12)));
     const auto watch = follower.poll (at (300));
     ASSERT_TRUE (watch);
     EXPECT_EQ (watch->afterRevision, 12U);
-    EXPECT_FALSE (follower.overtaken (at (400), revision (13))) << "the answer may be in transit";
+    EXPECT_FALSE (follower.positionReceived (at (400), revision (13)))
+        << "the answer may be in transit";
 }
 
 FollowerSettings delayed()
@@ -344,7 +345,7 @@
     follower.pause();
     EXPECT_FALSE (follower.poll (at (0)));
     ASSERT_TRUE (follower.poll (at (500)));
-    EXPECT_FALSE (follower.answered (at (510), failure (SourceReply::failed)));
+    EXPECT_FALSE (follower.handleAnswer (at (510), failure (SourceReply::failed)));
     EXPECT_TRUE (follower.poll (at (620))) << "only the first call is delayed";
 }
 
--- a/tests/mesh/start_window_test.cc
+++ b/tests/mesh/start_window_test.cc
@@ -17,8 +17,8 @@
 StartWindow threePerSecond()
 {
     StartWindow window;
-    window.setMost (3);
-    window.bindUntil (at (10'000));
+    window.setLimit (3);
+    window.enforceUntil (at (10'000));
     return window;
 }
 
@@ -27,10 +27,10 @@
     StartWindow window;
 
     for (int i = 0; i < 100; ++i)
-        window.started (at (0));
+        window.recordStart (at (0));
 
-    EXPECT_EQ (window.earliest (at (0), 50), at (0));
-    EXPECT_FALSE (window.binds (at (0)));
+    EXPECT_EQ (window.earliestStart (at (0), 50), at (0));
+    EXPECT_FALSE (window.isEnforced (at (0)));
 }
 
 TEST (StartWindow, TheNextStartWaitsForTheOldestToLeaveTheWindow)
@@ -39,81 +39,82 @@
 
     for (const int time : { 0, 100, 200 })
     {
-        EXPECT_EQ (window.earliest (at (time), 0), at (time));
-        window.started (at (time));
+        EXPECT_EQ (window.earliestStart (at (time), 0), at (time));
+        window.recordStart (at (time));
     }
 
-    EXPECT_EQ (window.earliest (at (300), 0), at (1010));
-    EXPECT_EQ (window.earliest (at (300), 1), at (1110));
-    EXPECT_EQ (window.earliest (at (300), 2), at (1210));
-    EXPECT_EQ (window.earliest (at (300), 3), at (2020))
+    EXPECT_EQ (window.earliestStart (at (300), 0), at (1010));
+    EXPECT_EQ (window.earliestStart (at (300), 1), at (1110));
+    EXPECT_EQ (window.earliestStart (at (300), 2), at (1210));
+    EXPECT_EQ (window.earliestStart (at (300), 3), at (2020))
         << "one window after the first pending start";
-    EXPECT_EQ (window.earliest (at (1100), 0), at (1100));
+    EXPECT_EQ (window.earliestStart (at (1100), 0), at (1100));
 }
 
 TEST (StartWindow, RequestsAheadUseFreeCapacityFirst)
 {
     auto window = threePerSecond();
-    window.started (at (0));
-    EXPECT_EQ (window.earliest (at (500), 0), at (500));
-    EXPECT_EQ (window.earliest (at (500), 1), at (500));
-    EXPECT_EQ (window.earliest (at (500), 2), at (1010));
-    EXPECT_EQ (window.earliest (at (500), 3), at (1510))
+    window.recordStart (at (0));
+    EXPECT_EQ (window.earliestStart (at (500), 0), at (500));
+    EXPECT_EQ (window.earliestStart (at (500), 1), at (500));
+    EXPECT_EQ (window.earliestStart (at (500), 2), at (1010));
+    EXPECT_EQ (window.earliestStart (at (500), 3), at (1510))
         << "one window after a request that starts now";
 }
 
 TEST (StartWindow, LimitEndsWithTheColdPeriod)
 {
     auto window = threePerSecond();
-    window.bindUntil (at (700));
+    window.enforceUntil (at (700));
 
     for (int i = 0; i < 3; ++i)
-        window.started (at (0));
+        window.recordStart (at (0));
 
-    EXPECT_EQ (window.earliest (at (600), 0), at (700));
-    EXPECT_EQ (window.earliest (at (701), 9), at (701));
+    EXPECT_EQ (window.earliestStart (at (600), 0), at (700));
+    EXPECT_EQ (window.earliestStart (at (701), 9), at (701));
 }
 
 TEST (StartWindow, StartsBeforeEnforcementCount)
 {
     StartWindow window;
-    window.setMost (3);
+    window.setLimit (3);
 
     for (int time = 0; time < 100; time += 10)
-        window.started (at (time));
+        window.recordStart (at (time));
 
-    window.bindUntil (at (5000));
-    EXPECT_EQ (window.earliest (at (100), 0), at (1080)) << "the third latest start was at 70 ms";
-    window.forget();
-    EXPECT_EQ (window.earliest (at (100), 0), at (100)) << "no starts are recorded";
+    window.enforceUntil (at (5000));
+    EXPECT_EQ (window.earliestStart (at (100), 0), at (1080))
+        << "the third latest start was at 70 ms";
+    window.clear();
+    EXPECT_EQ (window.earliestStart (at (100), 0), at (100)) << "no starts are recorded";
 }
 
 TEST (StartWindow, AssumedStartsCount)
 {
     auto window = threePerSecond();
-    window.assumeStarted (at (0), 2);
-    EXPECT_EQ (window.earliest (at (1), 0), at (1));
-    window.started (at (1));
-    EXPECT_EQ (window.earliest (at (2), 0), at (1010));
+    window.assumeStarts (at (0), 2);
+    EXPECT_EQ (window.earliestStart (at (1), 0), at (1));
+    window.recordStart (at (1));
+    EXPECT_EQ (window.earliestStart (at (2), 0), at (1010));
 }
 
 TEST (StartWindow, QuarterWindowLimitsStarts)
 {
     StartWindow window;
-    window.setMost (6);
-    window.setMostInQuarter (2);
-    window.bindUntil (at (10'000));
+    window.setLimit (6);
+    window.setQuarterLimit (2);
+    window.enforceUntil (at (10'000));
 
     for (int i = 0; i < 2; ++i)
-        window.started (at (0));
+        window.recordStart (at (0));
 
-    EXPECT_EQ (window.earliest (at (100), 0), at (253));
-    EXPECT_EQ (window.earliest (at (100), 2), at (506));
+    EXPECT_EQ (window.earliestStart (at (100), 0), at (253));
+    EXPECT_EQ (window.earliestStart (at (100), 2), at (506));
 
     for (int time : { 253, 253, 506, 506 })
-        window.started (at (time));
+        window.recordStart (at (time));
 
-    EXPECT_EQ (window.earliest (at (759), 0), at (1010)) << "the whole window is full";
+    EXPECT_EQ (window.earliestStart (at (759), 0), at (1010)) << "the whole window is full";
 }
 
 TEST (StartWindow, DelayedRequestCountsFromItsSending)
@@ -121,15 +122,15 @@
     auto window = threePerSecond();
 
     for (const int time : { 0, 100, 200 })
-        window.started (at (time));
+        window.recordStart (at (time));
 
     // The connection of the first request had to be opened first.
-    window.sent (at (0), at (250));
-    EXPECT_EQ (window.earliest (at (300), 0), at (1110));
-    EXPECT_EQ (window.earliest (at (300), 2), at (1260));
+    window.postponeStart (at (0), at (250));
+    EXPECT_EQ (window.earliestStart (at (300), 0), at (1110));
+    EXPECT_EQ (window.earliestStart (at (300), 2), at (1260));
     // No request was started at 77 ms, so this has no effect.
-    window.sent (at (77), at (260));
-    EXPECT_EQ (window.earliest (at (300), 0), at (1110));
+    window.postponeStart (at (77), at (260));
+    EXPECT_EQ (window.earliestStart (at (300), 0), at (1110));
 }
 
 TEST (StartWindow, NoSecondExceedsTheLimitWithRandomArrivals)
@@ -141,9 +142,9 @@
 
     while (now < at (9000))
     {
-        if (window.earliest (now, 0) <= now)
+        if (window.earliestStart (now, 0) <= now)
         {
-            window.started (now);
+            window.recordStart (now);
             starts.push_back (now);
         }
 
@@ -166,9 +167,9 @@
     Timestamp opened{};
 
     for (auto now = at (0); now < at (3000); now += Milliseconds (1))
-        while (window.earliest (now, 0) <= now)
+        while (window.earliestStart (now, 0) <= now)
         {
-            window.started (now);
+            window.recordStart (now);
             const bool isNew = arrivals.size() < limit;
             opened = std::max<Timestamp> (opened, now) + Milliseconds (isNew ? 1 : 0);
             arrivals.push_back (isNew ? opened : now);
@@ -189,9 +190,9 @@
 {
     constexpr int limit = 26;
     StartWindow window;
-    window.setMost (limit);
-    window.setMostInQuarter (7);
-    window.bindUntil (at (10'000));
+    window.setLimit (limit);
+    window.setQuarterLimit (7);
+    window.enforceUntil (at (10'000));
     EXPECT_LE (maxArrivalsPerSecond (window, limit), std::size_t (limit));
 }
 
--- a/tests/mesh/stop_plan_test.cc
+++ b/tests/mesh/stop_plan_test.cc
@@ -33,15 +33,15 @@
 
 TEST_F (Stopping, AcceptsNoRequestThatCouldNotFinish)
 {
-    EXPECT_FALSE (plan.at (at (4499), busy).stopTaking);
-    EXPECT_TRUE (plan.at (at (4500), busy).stopTaking);
+    EXPECT_FALSE (plan.at (at (4499), busy).stopAccepting);
+    EXPECT_TRUE (plan.at (at (4500), busy).stopAccepting);
 }
 
 TEST_F (Stopping, EndsBeforeTheKillAndAnswersBeforeTheEnd)
 {
     EXPECT_FALSE (plan.at (at (5699), busy).end);
     EXPECT_TRUE (plan.at (at (5700), busy).end);
-    EXPECT_EQ (plan.answersBy(), at (5550));
+    EXPECT_EQ (plan.answerDeadline(), at (5550));
 }
 
 } // namespace
--- a/tests/mesh/tenant_cost_test.cc
+++ b/tests/mesh/tenant_cost_test.cc
@@ -54,8 +54,8 @@
     const auto quotaMicroseconds = microsecondsOf (
         [&] (int round)
         {
-            lease.granted (at (round / 100), 1, 1);
-            passed += lease.take (at (round / 100)) == QuotaStep::pass ? 1 : 0;
+            lease.addGrant (at (round / 100), 1, 1);
+            passed += lease.take (at (round / 100)) == QuotaDecision::pass ? 1 : 0;
         });
     EXPECT_EQ (passed, static_cast<std::size_t> (rounds));
 
--- a/tests/mesh/tenant_quotas_test.cc
+++ b/tests/mesh/tenant_quotas_test.cc
@@ -23,37 +23,37 @@
 TEST (TenantQuotas, AlmostNothingIsRefusedWithinTheLimit)
 {
     QuotaFleet fleet (1);
-    fleet.play (1000, usualRate);
-    fleet.forgetCounts();
-    fleet.play (20'000, usualRate);
+    fleet.run (1000, usualRate);
+    fleet.resetCounts();
+    fleet.run (20'000, usualRate);
     EXPECT_LT (fleet.refusedShare(), 0.001);
-    EXPECT_LE (fleet.most(), fleet.allowed());
+    EXPECT_LE (fleet.maxPassedInWindow(), fleet.quotaInWindow());
 }
 
 TEST (TenantQuotas, FewNodesMayUseTheWholeLimit)
 {
     QuotaFleet fleet (2);
-    fleet.play (1000, 30, 0, 3);
-    fleet.forgetCounts();
-    fleet.play (10'000, 30, 0, 3);
+    fleet.run (1000, 30, 0, 3);
+    fleet.resetCounts();
+    fleet.run (10'000, 30, 0, 3);
     EXPECT_LT (fleet.refusedShare(), 0.002) << "equal shares per node would refuse 0.92";
 }
 
 TEST (TenantQuotas, SmallTenantIsRarelyRefused)
 {
     QuotaFleet fleet (3, 5);
-    fleet.play (3000, 1, 0, 3);
-    fleet.forgetCounts();
-    fleet.play (30'000, 1, 0, 3);
+    fleet.run (3000, 1, 0, 3);
+    fleet.resetCounts();
+    fleet.run (30'000, 1, 0, 3);
     EXPECT_LT (fleet.refusedShare(), 0.01);
 }
 
 TEST (TenantQuotas, OverloadingTenantGetsItsLimitAndNoMore)
 {
     QuotaFleet fleet (4);
-    fleet.play (20'000, overloadRate);
-    EXPECT_LE (fleet.most(), fleet.bound());
-    EXPECT_GE (fleet.most(), 0.9 * fleet.allowed());
+    fleet.run (20'000, overloadRate);
+    EXPECT_LE (fleet.maxPassedInWindow(), fleet.limitInWindow());
+    EXPECT_GE (fleet.maxPassedInWindow(), 0.9 * fleet.quotaInWindow());
 }
 
 struct Failure
@@ -68,25 +68,29 @@
     { "the keeper is killed", 0.05, [] (QuotaFleet& fleet) { fleet.kill (fleet.keeper()); },
       [] (QuotaFleet& fleet) { fleet.start (fleet.keeper()); } },
     { "the keeper is suspended and resumes after 4 s", 0.05,
-      [] (QuotaFleet& fleet) { fleet.sleepsUntil[fleet.keeper()] = fleet.nowMs + 4000; },
+      [] (QuotaFleet& fleet) { fleet.pausedUntilMs[fleet.keeper()] = fleet.nowMs + 4000; },
       [] (QuotaFleet&) {} },
     { "the keeper's zone is partitioned", 0.05,
-      [] (QuotaFleet& fleet) { fleet.cutZones = { fleet.places[fleet.keeper()].zone }; },
-      [] (QuotaFleet& fleet) { fleet.cutZones.clear(); } },
+      [] (QuotaFleet& fleet)
+      { fleet.partitionedZones = { fleet.quotaNodes[fleet.keeper()].zone }; },
+      [] (QuotaFleet& fleet) { fleet.partitionedZones.clear(); } },
     { "the keeper is isolated", 0.05,
-      [] (QuotaFleet& fleet) { fleet.cutOff[fleet.keeper()] = true; },
-      [] (QuotaFleet& fleet) { fleet.cutOff[fleet.keeper()] = false; } },
+      [] (QuotaFleet& fleet) { fleet.isolatedNodes[fleet.keeper()] = true; },
+      [] (QuotaFleet& fleet) { fleet.isolatedNodes[fleet.keeper()] = false; } },
     { "all zones are partitioned from each other", 0.05,
       [] (QuotaFleet& fleet) {
-          fleet.cutZones = { "z0", "z1", "z2", "z3" };
+          fleet.partitionedZones = { "z0", "z1", "z2", "z3" };
       },
-      [] (QuotaFleet& fleet) { fleet.cutZones.clear(); } },
+      [] (QuotaFleet& fleet) { fleet.partitionedZones.clear(); } },
     { "a third of the nodes are isolated", 0.15,
-      [] (QuotaFleet& fleet) { std::fill_n (fleet.cutOff.begin(), nodeCount / 3, true); },
-      [] (QuotaFleet& fleet) { std::fill (fleet.cutOff.begin(), fleet.cutOff.end(), false); } },
+      [] (QuotaFleet& fleet) { std::fill_n (fleet.isolatedNodes.begin(), nodeCount / 3, true); },
+      [] (QuotaFleet& fleet)
+      { std::fill (fleet.isolatedNodes.begin(), fleet.isolatedNodes.end(), false); } },
     { "every node is isolated", 0.4,
-      [] (QuotaFleet& fleet) { std::fill (fleet.cutOff.begin(), fleet.cutOff.end(), true); },
-      [] (QuotaFleet& fleet) { std::fill (fleet.cutOff.begin(), fleet.cutOff.end(), false); } },
+      [] (QuotaFleet& fleet)
+      { std::fill (fleet.isolatedNodes.begin(), fleet.isolatedNodes.end(), true); },
+      [] (QuotaFleet& fleet)
+      { std::fill (fleet.isolatedNodes.begin(), fleet.isolatedNodes.end(), false); } },
     { "all nodes are restarted at once", 0.05,
       [] (QuotaFleet& fleet)
       {
@@ -103,12 +107,12 @@
     for (const auto& failure : failures)
     {
         QuotaFleet fleet (5);
-        fleet.play (5000, overloadRate);
+        fleet.run (5000, overloadRate);
         failure.begin (fleet);
-        fleet.play (5000, overloadRate);
+        fleet.run (5000, overloadRate);
         failure.end (fleet);
-        fleet.play (6000, overloadRate);
-        EXPECT_LE (fleet.most(), fleet.bound()) << failure.name;
+        fleet.run (6000, overloadRate);
+        EXPECT_LE (fleet.maxPassedInWindow(), fleet.limitInWindow()) << failure.name;
     }
 }
 
@@ -117,12 +121,12 @@
     for (const auto& failure : failures)
     {
         QuotaFleet fleet (6);
-        fleet.play (5000, usualRate);
-        fleet.forgetCounts();
+        fleet.run (5000, usualRate);
+        fleet.resetCounts();
         failure.begin (fleet);
-        fleet.play (5000, usualRate);
+        fleet.run (5000, usualRate);
         failure.end (fleet);
-        fleet.play (3000, usualRate);
+        fleet.run (3000, usualRate);
         EXPECT_LT (fleet.refusedShare(), failure.maxRefusedShare) << failure.name;
     }
 }
@@ -136,33 +140,33 @@
 TEST (TenantQuotas, KeepsWithinTheBoundWhileTheKeeperHasNoConfigurationYet)
 {
     QuotaFleet fleet (9);
-    fleet.play (5000, overloadRate);
+    fleet.run (5000, overloadRate);
     fleet.startUnconfigured (fleet.keeper());
-    fleet.play (2000, overloadRate);
+    fleet.run (2000, overloadRate);
     fleet.configure (fleet.keeper());
-    fleet.play (6000, overloadRate);
-    EXPECT_LE (fleet.most(), fleet.bound());
+    fleet.run (6000, overloadRate);
+    EXPECT_LE (fleet.maxPassedInWindow(), fleet.limitInWindow());
 }
 
 TEST (TenantQuotas, KeepsWithinTheBoundWhileTheKeeperRunsAVersionWithoutTheTenant)
 {
     QuotaFleet fleet (10);
-    fleet.play (5000, overloadRate);
+    fleet.run (5000, overloadRate);
     fleet.configureWithoutTenant (fleet.keeper());
-    fleet.play (10'000, overloadRate);
-    EXPECT_LE (fleet.most(), fleet.bound());
-    EXPECT_GE (fleet.most(), 0.9 * fleet.allowed());
+    fleet.run (10'000, overloadRate);
+    EXPECT_LE (fleet.maxPassedInWindow(), fleet.limitInWindow());
+    EXPECT_GE (fleet.maxPassedInWindow(), 0.9 * fleet.quotaInWindow());
 }
 
 TEST (TenantQuotas, LoweredLimitAppliesAfterOneWindow)
 {
     QuotaFleet fleet (7);
-    fleet.play (5000, overloadRate);
+    fleet.run (5000, overloadRate);
     fleet.setQuota (40);
-    fleet.play (1000, overloadRate);
-    fleet.forgetCounts();
-    fleet.play (10'000, overloadRate);
-    EXPECT_LE (fleet.most(), fleet.bound());
+    fleet.run (1000, overloadRate);
+    fleet.resetCounts();
+    fleet.run (10'000, overloadRate);
+    EXPECT_LE (fleet.maxPassedInWindow(), fleet.limitInWindow());
 }
 
 /** Injects random restarts, suspensions, partitions and datagram losses while a tenant exceeds its
@@ -175,7 +179,7 @@
         QuotaFleet fleet (seed, seed % 2 == 0 ? 100 : 20);
         std::mt19937_64 random (seed);
         const auto any = [&] { return static_cast<int> (random() % nodeCount); };
-        fleet.play (3000, overloadRate);
+        fleet.run (3000, overloadRate);
 
         for (int step = 0; step < 8; ++step)
         {
@@ -187,24 +191,24 @@
                 fleet.start (victim);
                 break;
             case 1:
-                fleet.sleepsUntil[victim] =
+                fleet.pausedUntilMs[victim] =
                     fleet.nowMs + static_cast<std::int64_t> (random() % 5000);
                 break;
             case 2:
-                fleet.cutOff[victim] = ! fleet.cutOff[victim];
+                fleet.isolatedNodes[victim] = ! fleet.isolatedNodes[victim];
                 break;
             case 3:
-                fleet.cutZones = { fleet.places[victim].zone };
+                fleet.partitionedZones = { fleet.quotaNodes[victim].zone };
                 break;
             default:
-                fleet.cutZones.clear();
+                fleet.partitionedZones.clear();
                 fleet.lossShare = 0.1 * static_cast<double> (random() % 4);
             }
 
-            fleet.play (static_cast<std::int64_t> (300 + random() % 2000), overloadRate);
+            fleet.run (static_cast<std::int64_t> (300 + random() % 2000), overloadRate);
         }
 
-        EXPECT_LE (fleet.most(), fleet.bound()) << "seed " << seed;
+        EXPECT_LE (fleet.maxPassedInWindow(), fleet.limitInWindow()) << "seed " << seed;
     }
 }
 
--- a/tests/mesh/tenant_test.cc
+++ b/tests/mesh/tenant_test.cc
@@ -40,8 +40,8 @@
     EXPECT_EQ (table.tenants().find ("k3")->name, "b");
     EXPECT_EQ (table.tenants().find ("k4"), nullptr);
     EXPECT_EQ (table.tenants().find (""), nullptr);
-    EXPECT_EQ (table.tenants().named ("b")->name, "b");
-    EXPECT_EQ (table.tenants().named ("k3"), nullptr);
+    EXPECT_EQ (table.tenants().findByName ("b")->name, "b");
+    EXPECT_EQ (table.tenants().findByName ("k3"), nullptr);
     EXPECT_FALSE (table.tenants().empty());
     EXPECT_TRUE (tableOf ({}).tenants().empty());
 }
@@ -129,13 +129,14 @@
         { protectedRoute, "k1", false, 100, false, Verdict::accepted, true },
         { protectedRoute, "k1", false, std::nullopt, false, Verdict::accepted, true },
         { protectedRoute, "k1", false, 4999, true, Verdict::accepted, true },
-        { protectedRoute, "k1", false, 5001, true, Verdict::wordTooOld, true },
-        { protectedRoute, "k1", false, std::nullopt, true, Verdict::wordTooOld, true },
+        { protectedRoute, "k1", false, 5001, true, Verdict::configurationMayBeStale, true },
+        { protectedRoute, "k1", false, std::nullopt, true, Verdict::configurationMayBeStale, true },
         { protectedRoute, "k9", false, 100, false, Verdict::unknownCredential, false },
-        { protectedRoute, "k9", false, 2501, false, Verdict::wordTooOld, false },
-        { protectedRoute, "k9", false, std::nullopt, false, Verdict::wordTooOld, false },
+        { protectedRoute, "k9", false, 2501, false, Verdict::configurationMayBeStale, false },
+        { protectedRoute, "k9", false, std::nullopt, false, Verdict::configurationMayBeStale,
+          false },
         { protectedRoute, "", false, 100, false, Verdict::missing, false },
-        { protectedRoute, "", false, 2501, false, Verdict::wordTooOld, false },
+        { protectedRoute, "", false, 2501, false, Verdict::configurationMayBeStale, false },
         { protectedRoute, "", true, std::nullopt, true, Verdict::accepted, false },
         { protectedRoute, "k9", true, 100, false, Verdict::unknownCredential, false },
         { publicRoute, "", false, std::nullopt, true, Verdict::accepted, false },
--- a/tests/mesh/zone_evacuations_test.cc
+++ b/tests/mesh/zone_evacuations_test.cc
@@ -14,29 +14,29 @@
 TEST (ZoneEvacuations, EvacuationLastsUntilItEnds)
 {
     ZoneEvacuations evacuations;
-    EXPECT_TRUE (evacuations.take (at (0), { "a", revision (5), false }));
-    EXPECT_FALSE (evacuations.take (at (0), { "a", revision (6), false })) << "evacuated already";
-    EXPECT_TRUE (evacuations.take (at (0), { "b", revision (7), false }));
+    EXPECT_TRUE (evacuations.apply (at (0), { "a", revision (5), false }));
+    EXPECT_FALSE (evacuations.apply (at (0), { "a", revision (6), false })) << "evacuated already";
+    EXPECT_TRUE (evacuations.apply (at (0), { "b", revision (7), false }));
     EXPECT_EQ (evacuations.zones(), (Zones{ "a", "b" }));
-    EXPECT_TRUE (evacuations.take (at (0), { "a", revision (8), true }));
+    EXPECT_TRUE (evacuations.apply (at (0), { "a", revision (8), true }));
     EXPECT_EQ (evacuations.zones(), Zones{ "b" });
 }
 
 TEST (ZoneEvacuations, OlderChangesAreIgnored)
 {
     ZoneEvacuations evacuations;
-    EXPECT_FALSE (evacuations.take (at (0), { "a", revision (9), true }));
-    EXPECT_FALSE (evacuations.take (at (0), { "a", revision (5), false }));
+    EXPECT_FALSE (evacuations.apply (at (0), { "a", revision (9), true }));
+    EXPECT_FALSE (evacuations.apply (at (0), { "a", revision (5), false }));
     EXPECT_TRUE (evacuations.zones().empty());
 }
 
 TEST (ZoneEvacuations, CompleteListingEndsOlderUnlistedEvacuations)
 {
     ZoneEvacuations evacuations;
-    evacuations.take (at (0), { "a", revision (5), false });
-    evacuations.take (at (0), { "b", revision (6), false });
-    evacuations.take (at (0), { "c", revision (12), false });
-    const auto removed = evacuations.removeAllBut (at (0), { "b" }, revision (10));
+    evacuations.apply (at (0), { "a", revision (5), false });
+    evacuations.apply (at (0), { "b", revision (6), false });
+    evacuations.apply (at (0), { "c", revision (12), false });
+    const auto removed = evacuations.removeUnlisted (at (0), { "b" }, revision (10));
     ASSERT_EQ (removed.size(), 1U);
     EXPECT_EQ (removed[0], (EvacuationChange{ "a", revision (10), true }));
     EXPECT_EQ (evacuations.zones(), (Zones{ "b", "c" }));
@@ -45,9 +45,9 @@
 TEST (ZoneEvacuations, ChangesIncludeEndedEvacuations)
 {
     ZoneEvacuations evacuations;
-    evacuations.take (at (0), { "a", revision (5), false });
-    evacuations.take (at (0), { "b", revision (6), false });
-    evacuations.take (at (0), { "a", revision (8), true });
+    evacuations.apply (at (0), { "a", revision (5), false });
+    evacuations.apply (at (0), { "b", revision (6), false });
+    evacuations.apply (at (0), { "a", revision (8), true });
     const auto changes = evacuations.changesSince (revision (6));
     ASSERT_EQ (changes.size(), 1U);
     EXPECT_EQ (changes[0], (EvacuationChange{ "a", revision (8), true }));
--- a/tests/mesh/zone_outage_test.cc
+++ b/tests/mesh/zone_outage_test.cc
@@ -31,9 +31,9 @@
             settings.watchInterval = Milliseconds (750);
             const auto name = "n" + std::to_string (n);
             const auto seed = static_cast<std::uint64_t> (n + 1);
-            auto node =
-                std::make_unique<Node> (Node{ ReaderRole (name, { topStrength, seed }, {}, seed),
-                                              SourceFollower (settings, seed), name, seed });
+            auto node = std::make_unique<Node> (
+                Node{ ReaderRole (name, { maxMachineStrength, seed }, {}, seed),
+                      SourceFollower (settings, seed), name, seed });
             node->follower.pause();
             node->role.setZonePeers (static_cast<std::size_t> (size - 1));
             nodes.push_back (std::move (node));
@@ -65,8 +65,8 @@
 
         for (const auto& node : nodes)
         {
-            const bool heard = at (now) - node->role.satisfiedAt() <= Milliseconds (1000);
-            count += heard || node->follower.reached (at (now)) ? 0 : 1;
+            const bool heard = at (now) - node->role.lastUpToDate() <= Milliseconds (1000);
+            count += heard || node->follower.isSourceReachable (at (now)) ? 0 : 1;
         }
 
         return count;
@@ -143,13 +143,13 @@
         answer.reply = failing                 ? SourceReply::refused
                        : isLost (node.request) ? SourceReply::historyLost
                                                : SourceReply::entries;
-        answer.at = position;
+        answer.position = position;
         answer.entries = { { "a", "v", position.revision, 1, false } };
-        node.follower.answered (at (now), std::move (answer));
+        node.follower.handleAnswer (at (now), std::move (answer));
 
         if (node.follower.position().isKnown())
         {
-            node.role.reached (at (now), node.follower.position(), 1);
+            node.role.positionReached (at (now), node.follower.position(), 1);
             node.role.listed (at (now));
         }
     }
@@ -157,8 +157,9 @@
     void decide (Node& node)
     {
         const bool before = node.role.reading();
-        const bool reading = node.role.decide (at (now), node.follower.reached (at (now)));
-        node.follower.setTryInterval (node.role.tryInterval (at (now)));
+        const bool reading =
+            node.role.decide (at (now), node.follower.isSourceReachable (at (now)));
+        node.follower.setMinRetryInterval (node.role.minRetryInterval (at (now)));
 
         if (reading == before)
             return;
@@ -172,11 +173,12 @@
 
     void sendHeartbeat (Node& node)
     {
-        const bool sound = node.follower.reached (at (now));
+        const bool sound = node.follower.isSourceReachable (at (now));
         const auto interval =
             sound == node.reportedHealthy
                 ? (sound ? heartbeatMs
-                         : std::max<std::int64_t> (1000, node.role.tryInterval (at (now)).count()))
+                         : std::max<std::int64_t> (1000,
+                                                   node.role.minRetryInterval (at (now)).count()))
                 : 0;
 
         if (! node.role.reading() || now - node.heartbeatAt < interval)
@@ -184,8 +186,8 @@
 
         node.heartbeatAt = now;
         node.reportedHealthy = sound;
-        const ReaderBeat heartbeat{
-            node.name, "z", { topStrength, node.hash }, node.follower.position(), 1, sound
+        const ReaderHeartbeat heartbeat{
+            node.name, "z", { maxMachineStrength, node.hash }, node.follower.position(), 1, sound
         };
 
         for (auto& other : nodes)
@@ -193,15 +195,16 @@
                 receive (*other, heartbeat);
     }
 
-    void receive (Node& node, const ReaderBeat& heartbeat)
+    void receive (Node& node, const ReaderHeartbeat& heartbeat)
     {
-        node.role.heard (at (now), heartbeat);
+        node.role.heartbeatReceived (at (now), heartbeat);
 
         // The node fetches the changes from the reader.
-        if (heartbeat.sound && heartbeat.at > node.follower.position() && ! node.role.reading())
+        if (heartbeat.healthy && heartbeat.position > node.follower.position() &&
+            ! node.role.reading())
         {
-            node.follower.pause (heartbeat.at);
-            node.role.reached (at (now), heartbeat.at, 1);
+            node.follower.pause (heartbeat.position);
+            node.role.positionReached (at (now), heartbeat.position, 1);
         }
     }
 
--- a/tests/platform_adapter/store_dialect_test.cc
+++ b/tests/platform_adapter/store_dialect_test.cc
@@ -141,7 +141,7 @@
     EXPECT_EQ (gold.credentials, (std::vector<mesh::CredentialDigest>{ mesh::digestOf ("k1"),
                                                                        mesh::digestOf ("k2") }));
     EXPECT_EQ (config.tenants[1].priority, std::nullopt);
-    EXPECT_FALSE (config.tenants[1].quota.limits());
+    EXPECT_FALSE (config.tenants[1].quota.isLimited());
     EXPECT_FALSE (config.routes[0].isPublic);
     EXPECT_TRUE (config.routes[1].isPublic);
     EXPECT_EQ (config.routes[1].allowedRegions, std::vector<std::string>{ "south" });
@@ -214,7 +214,7 @@
 
     const auto first = readAnswer (200, cases[0].body);
     EXPECT_TRUE (first.hasMore);
-    EXPECT_EQ (first.at.revision, 9U);
+    EXPECT_EQ (first.position.revision, 9U);
     EXPECT_EQ (first.entries[0].value, "node-1");
     EXPECT_EQ (first.entries[0].createdAt, 2U);
 }
@@ -226,10 +226,11 @@
 
     for (const auto& [status, body] : std::map<int, std::string>{
              { 200, events }, { 404, "" }, { 410, "" }, { 429, "" }, { 503, "" } })
-        EXPECT_EQ (readAnswer (status, body, { { "store-era", "3" } }).at.epoch, 3U) << status;
+        EXPECT_EQ (readAnswer (status, body, { { "store-era", "3" } }).position.epoch, 3U)
+            << status;
 
     EXPECT_EQ (readAnswer (200, events).reply, SourceReply::entries);
-    EXPECT_EQ (readAnswer (200, events).at, (mesh::SourcePosition{ 0, 5 }));
+    EXPECT_EQ (readAnswer (200, events).position, (mesh::SourcePosition{ 0, 5 }));
 
     for (const auto* const value : { "", "x", "-1", "1.5", "99999999999999999999999" })
         EXPECT_EQ (readAnswer (200, events, { { "Store-Era", value } }).reply, SourceReply::failed)
@@ -278,7 +279,7 @@
             EXPECT_FALSE (answer.entries[0].fault.empty()) << item.substr (0, 100);
             EXPECT_TRUE (answer.entries[1].fault.empty());
             EXPECT_EQ (answer.entries[1].key, "servers/b");
-            EXPECT_EQ (answer.at.revision, 9U);
+            EXPECT_EQ (answer.position.revision, 9U);
         }
 
     EXPECT_EQ (readAnswer (200, R"({"items":)" + deep).reply, SourceReply::failed);
@@ -312,7 +313,7 @@
         EXPECT_TRUE (answer.entries.back().fault.empty()) << item;
 
         for (const auto& entry : answer.entries)
-            if (entry.fault.empty() && ! entry.gone)
+            if (entry.fault.empty() && ! entry.removed)
                 (void)Resolve ([&] { return readInstance (entry, 2); });
     }
 }
@@ -339,7 +340,7 @@
             });
     };
     ASSERT_TRUE (read (valid));
-    EXPECT_EQ (read (valid).value().born, 1768005044252U);
+    EXPECT_EQ (read (valid).value().startTimeMs, 1768005044252U);
 
     for (const auto* const needed : { "service", "address", "zone", "slots", "state" })
     {
@@ -443,7 +444,7 @@
             wanted.text + "}";
         const auto read = Resolve ([&] { return readInstance (entry, 2); });
         ASSERT_TRUE (read) << wanted.text;
-        EXPECT_EQ (read.value().coldFor, wanted.wanted) << wanted.text;
+        EXPECT_EQ (read.value().coldRemaining, wanted.wanted) << wanted.text;
     }
 }
 
--- a/tests/sidecar/http/body_gate_test.cc
+++ b/tests/sidecar/http/body_gate_test.cc
@@ -35,7 +35,7 @@
     void onGate (const ExchangePointer& exchange)
     {
         const std::lock_guard lock (mutex);
-        exchange->onGone = [this] { gateNotified = true; };
+        exchange->onDisconnect = [this] { gateNotified = true; };
         gatedRequests.push_back (exchange);
     }
 
@@ -154,7 +154,7 @@
 
     ~WithheldBody() override
     {
-        reactor->RunAndWait ([&] { client->dropAllIdle(); });
+        reactor->RunAndWait ([&] { client->closeAllIdleConnections(); });
         reactor->Stop();
     }
 
--- a/tests/sidecar/http/holding_server.h
+++ b/tests/sidecar/http/holding_server.h
@@ -36,7 +36,7 @@
             return limits;
         };
         settings.errorMessage = [] (int status, std::string_view cause)
-        { return ownAnswer (status, cause, {}, true, false); };
+        { return localAnswer (status, cause, {}, true, false); };
         settings.handler = [this] (const ExchangePointer& exchange) { onRequest (exchange); };
         configure (*this, settings);
         reactor->RunAndWait (
@@ -57,7 +57,7 @@
     void onRequest (const ExchangePointer& exchange)
     {
         const std::lock_guard lock (mutex);
-        exchange->onGone = [this, target = exchange->head.target]
+        exchange->onDisconnect = [this, target = exchange->head.target]
         {
             const std::lock_guard lock (mutex);
             disconnected.push_back (target);
--- a/tests/sidecar/http/http_test.cc
+++ b/tests/sidecar/http/http_test.cc
@@ -38,7 +38,7 @@
             return limits;
         };
         settings.errorMessage = [] (int status, std::string_view cause)
-        { return ownAnswer (status, cause, {}, true, false); };
+        { return localAnswer (status, cause, {}, true, false); };
         settings.handler = [this] (const ExchangePointer& exchange) { onRequest (exchange); };
         reactor->RunAndWait (
             [&]
@@ -66,7 +66,7 @@
 
         if (exchange->head.target == "/hold")
         {
-            exchange->onGone = [this] { disconnected = true; };
+            exchange->onDisconnect = [this] { disconnected = true; };
             heldRequest = exchange;
             return;
         }
--- a/tests/sidecar/http/pipelining_test.cc
+++ b/tests/sidecar/http/pipelining_test.cc
@@ -28,7 +28,7 @@
         : HoldingServer (
               [] (HoldingServer&, ServerSettings& settings)
               {
-                  settings.mayRunBeside = [] (const RequestHead& head)
+                  settings.canRunConcurrently = [] (const RequestHead& head)
                   { return head.target.starts_with ("/safe"); };
               })
     {
@@ -50,8 +50,8 @@
     reactor->RunAndWait (
         [&]
         {
-            EXPECT_EQ (server->counters().besideOthers, 2U);
-            EXPECT_EQ (server->counters().answerHeld.count(), 2U);
+            EXPECT_EQ (server->counters().startedConcurrently, 2U);
+            EXPECT_EQ (server->counters().headOfLineDelay.count(), 2U);
         });
 }
 
--- a/tests/sidecar/sidecar_settings_test.cc
+++ b/tests/sidecar/sidecar_settings_test.cc
@@ -103,17 +103,17 @@
     EXPECT_TRUE (settings.credentials.failClosed);
     EXPECT_EQ (settings.credentials.revokeTime, Milliseconds (3000));
     EXPECT_EQ (settings.quotas.window, Milliseconds (4000));
-    EXPECT_EQ (settings.quotas.over, 0.1);
+    EXPECT_EQ (settings.quotas.excessShare, 0.1);
     EXPECT_EQ (settings.quotas.slack, 7);
-    EXPECT_EQ (settings.crashes.most, 3);
-    EXPECT_EQ (settings.crashes.hold, Milliseconds (30'000));
+    EXPECT_EQ (settings.crashes.crashesUntilHold, 3);
+    EXPECT_EQ (settings.crashes.firstHold, Milliseconds (30'000));
 
     const auto usual = parse ({}).value().settings;
     EXPECT_TRUE (usual.zoneRegions.empty());
     EXPECT_FALSE (usual.credentials.failClosed);
     EXPECT_EQ (usual.quotas.slack, 20);
-    EXPECT_EQ (usual.crashes.most, 2);
-    EXPECT_EQ (usual.crashes.hold, Milliseconds (60'000));
+    EXPECT_EQ (usual.crashes.crashesUntilHold, 2);
+    EXPECT_EQ (usual.crashes.firstHold, Milliseconds (60'000));
 }
 
 TEST (SidecarSettings, MissingAndUnknownKeysAreRefused)
