--- a/src/source/bounded_get.cc
+++ b/src/source/bounded_get.cc
@@ -20,10 +20,10 @@
 
  private:
   httplib::Error Perform();
-  bool TakeHeaders(const httplib::Response& response);
-  bool TakeContent(const char* data, std::size_t size);
-  Result<BoundedGetAnswer> Judge(httplib::Error error);
-  boost::leaf::error_id FailHere(ErrorKind kind, std::string cause) const;
+  bool OnHeaders(const httplib::Response& response);
+  bool OnContent(const char* data, std::size_t size);
+  Result<BoundedGetAnswer> ToResult(httplib::Error error);
+  boost::leaf::error_id FailWithUrl(ErrorKind kind, std::string cause) const;
 
   const BoundedGetRequest request_;
   Watchdog& watchdog_;
@@ -38,23 +38,24 @@
       watchdog_(watchdog),
       client_(request_.address.ip, request_.address.port) {
   client_.set_connection_timeout(request_.connect_timeout);
-  // Longer than the watchdog allows for the whole: only that one decides what a timeout is.
-  client_.set_read_timeout(2 * request_.whole_timeout);
-  client_.set_write_timeout(2 * request_.whole_timeout);
+  // These are longer than the deadline of the watchdog, which alone decides when a request has
+  // timed out.
+  client_.set_read_timeout(2 * request_.total_timeout);
+  client_.set_write_timeout(2 * request_.total_timeout);
   client_.set_follow_location(false);
   client_.set_keep_alive(false);
   client_.set_decompress(false);
 }
 
 Result<BoundedGetAnswer> HttplibGet::Run() {
-  const Timestamp deadline = SteadyClock().Now() + request_.whole_timeout;
+  const Timestamp deadline = SteadyClock().Now() + request_.total_timeout;
   const std::uint64_t alarm = watchdog_.Arm(deadline, [this] {
     timed_out_ = true;
     client_.stop();
   });
   const httplib::Error error = Perform();
   watchdog_.Disarm(alarm);
-  return Judge(error);
+  return ToResult(error);
 }
 
 httplib::Error HttplibGet::Perform() {
@@ -62,55 +63,55 @@
   if (!request_.etag.empty()) headers.emplace("If-None-Match", request_.etag);
   const httplib::Result result = client_.Get(
       request_.path, headers,
-      [this](const httplib::Response& response) { return TakeHeaders(response); },
-      [this](const char* data, std::size_t size) { return TakeContent(data, size); });
-  if (result) answer_.status = result->status;  // A 204 comes without a call of TakeHeaders.
+      [this](const httplib::Response& response) { return OnHeaders(response); },
+      [this](const char* data, std::size_t size) { return OnContent(data, size); });
+  if (result) answer_.status = result->status;  // cpp-httplib does not call OnHeaders for a 204.
   return result.error();
 }
 
-// @return false to leave the rest unread: nothing but a 200 has a body of interest.
-bool HttplibGet::TakeHeaders(const httplib::Response& response) {
+// @return false to stop reading; only the body of a 200 response is used.
+bool HttplibGet::OnHeaders(const httplib::Response& response) {
   answer_.status = response.status;
   answer_.etag = response.get_header_value("ETag");
   if (answer_.etag.size() > kMaxEtagBytes) answer_.etag.clear();
   return answer_.status == kOk;
 }
 
-bool HttplibGet::TakeContent(const char* data, std::size_t size) {
-  oversized_ = answer_.body.size() + size > request_.max_body;
+bool HttplibGet::OnContent(const char* data, std::size_t size) {
+  oversized_ = answer_.body.size() + size > request_.max_body_bytes;
   if (oversized_ || timed_out_) return false;
   answer_.body.append(data, size);
   return true;
 }
 
-Result<BoundedGetAnswer> HttplibGet::Judge(httplib::Error error) {
+Result<BoundedGetAnswer> HttplibGet::ToResult(httplib::Error error) {
   if (oversized_) {
-    return FailHere(ErrorKind::kOversized,
-                    "body over " + std::to_string(request_.max_body) + " bytes");
+    return FailWithUrl(ErrorKind::kOversized,
+                       "body over " + std::to_string(request_.max_body_bytes) + " bytes");
   }
   if (timed_out_ && answer_.status != kNotModified) {
-    const auto limit = std::chrono::duration_cast<Milliseconds>(request_.whole_timeout).count();
-    return FailHere(ErrorKind::kSourceTimeout,
-                    "no whole answer within " + std::to_string(limit) + " ms");
+    const auto limit = std::chrono::duration_cast<Milliseconds>(request_.total_timeout).count();
+    return FailWithUrl(ErrorKind::kSourceTimeout,
+                       "no complete response within " + std::to_string(limit) + " ms");
   }
   if (answer_.status == kNotModified && !request_.etag.empty()) return std::move(answer_);
   if (answer_.status != 0 && answer_.status != kOk) {
-    return FailHere(ErrorKind::kSourceBadAnswer, "status " + std::to_string(answer_.status));
+    return FailWithUrl(ErrorKind::kSourceBadAnswer, "status " + std::to_string(answer_.status));
   }
   switch (error) {
     case httplib::Error::Success:
       return std::move(answer_);
     case httplib::Error::ConnectionTimeout:
-      return FailHere(ErrorKind::kSourceTimeout, "cannot connect in time");
+      return FailWithUrl(ErrorKind::kSourceTimeout, "connection timed out");
     case httplib::Error::Connection:
-      return FailHere(ErrorKind::kSourceUnreachable, "cannot connect");
+      return FailWithUrl(ErrorKind::kSourceUnreachable, "cannot connect");
     default:
-      return FailHere(ErrorKind::kSourceBadAnswer,
-                      "no whole HTTP answer: " + httplib::to_string(error));
+      return FailWithUrl(ErrorKind::kSourceBadAnswer,
+                         "incomplete or invalid HTTP response: " + httplib::to_string(error));
   }
 }
 
-boost::leaf::error_id HttplibGet::FailHere(ErrorKind kind, std::string cause) const {
+boost::leaf::error_id HttplibGet::FailWithUrl(ErrorKind kind, std::string cause) const {
   return Fail(kind, "http://" + ToString(request_.address) + request_.path, std::move(cause));
 }
 
--- a/src/source/bounded_get.h
+++ b/src/source/bounded_get.h
@@ -1,5 +1,5 @@
-// One HTTP GET, by cpp-httplib, bounded in time and in bytes whatever the other side does: it may
-// hang, send a byte now and then, send without end, or close early.
+// One HTTP GET with cpp-httplib that is bounded in time and in bytes even if the server hangs,
+// sends single bytes at long intervals, sends an endless body or closes the connection early.
 #pragma once
 
 #include <cstddef>
@@ -15,32 +15,33 @@
 struct BoundedGetRequest {
   SocketAddress address;
   std::string path;
-  std::string etag;  // For If-None-Match; empty: none.
+  std::string etag;  // Value of If-None-Match; empty for an unconditional request.
   Duration connect_timeout{};
-  Duration whole_timeout{};  // From the start until the last byte.
-  std::size_t max_body = 0;  // In bytes.
+  Duration total_timeout{};        // From the start of the request to the last byte.
+  std::size_t max_body_bytes = 0;  // Limit on the body in bytes.
 };
 
-// A 200 with its body, or a 304 without.
+// A 200 response with its body, or a 304 response without one.
 struct BoundedGetAnswer {
   int status = 0;
-  std::string etag;  // Empty when there is none, or none of a usable length.
+  std::string etag;  // Empty if the response has no ETag or one that is too long.
   std::string body;
 };
 
 class BoundedGet {
  public:
   virtual ~BoundedGet() = default;
-  // Blocks for at most whole_timeout, and connect_timeout on top when the connection hangs to the
-  // last. Follows no redirect, repeats nothing. Call once.
-  // @return kSourceUnreachable, kSourceTimeout, kOversized, or kSourceBadAnswer for any status but
-  //         200 and 304 and for answers that end early; the place is the URL.
+  // Blocks for at most total_timeout, plus connect_timeout if the connection cannot be established.
+  // Does not follow redirects and does not retry. Must be called once only.
+  // @return the response or one of the errors kSourceUnreachable, kSourceTimeout, kOversized and
+  //         kSourceBadAnswer (any status except 200 and 304, and responses that end early). The
+  //         place of an error is the URL.
   virtual Result<BoundedGetAnswer> Run() = 0;
-  // Makes a running Run() return soon. Any thread.
+  // Makes a running Run() return soon. May be called on any thread.
   virtual void Cancel() = 0;
 };
 
-// @param watchdog outlives the request.
+// @param watchdog must outlive the request.
 std::unique_ptr<BoundedGet> MakeBoundedGet(const BoundedGetRequest& request, Watchdog& watchdog);
 
 }  // namespace copperlead
--- a/src/source/source_client.cc
+++ b/src/source/source_client.cc
@@ -18,8 +18,8 @@
   return stream == StreamKind::kConfiguration ? "/v1/configuration" : "/v1/machines";
 }
 
-// Parses a body into the document that its stream carries.
-Result<SourceAnswered> ReadBody(StreamKind stream, const std::string& body) {
+// Parses a body as the document that `stream` carries.
+Result<SourceAnswered> ParseBody(StreamKind stream, const std::string& body) {
   SourceAnswered answered;
   if (stream == StreamKind::kConfiguration) {
     BOOST_LEAF_AUTO(document, ParseConfiguration(body));
@@ -31,8 +31,8 @@
   return answered;
 }
 
-Result<SourceAnswered> ReadAnswer(StreamKind stream, const std::string& sent_etag,
-                                  BoundedGet& get) {
+Result<SourceAnswered> FetchAnswer(StreamKind stream, const std::string& sent_etag,
+                                   BoundedGet& get) {
   BOOST_LEAF_AUTO(answer, get.Run());
   SourceAnswered answered;
   if (answer.status == kNotModified) {
@@ -40,13 +40,13 @@
     answered.etag = sent_etag;
     return answered;
   }
-  BOOST_LEAF_ASSIGN(answered, ReadBody(stream, answer.body));
+  BOOST_LEAF_ASSIGN(answered, ParseBody(stream, answer.body));
   answered.status = SourceAnswered::Status::kNew;
   answered.etag = answer.etag;
   return answered;
 }
 
-// Fetches one of the two documents on a thread of its own, so that a slow answer to one does not
+// Fetches one of the two documents on a thread of its own, so that a slow response for one does not
 // delay the other.
 class StreamFetcher {
  public:
@@ -56,7 +56,7 @@
   StreamFetcher(const StreamFetcher&) = delete;
   StreamFetcher& operator=(const StreamFetcher&) = delete;
 
-  // Replaces a request that has not been started yet.
+  // Replaces a request that is still waiting to be started.
   void Fetch(const std::string& etag);
   void Stop();
 
@@ -71,14 +71,14 @@
   const SourceClient::Receiver receiver_;
   Watchdog& watchdog_;
 
-  std::mutex mutex_;  // Guards all below but thread_.
+  std::mutex mutex_;  // Guards requested_etag_, running_ and stopping_.
   std::condition_variable changed_;
   std::optional<std::string> requested_etag_;
   std::shared_ptr<BoundedGet> running_;
-  std::string running_etag_;  // Sent by running_. Only the fetcher's own thread uses it.
+  std::string running_etag_;  // ETag sent by running_. Used on the fetcher's own thread only.
   bool stopping_ = false;
 
-  std::mutex stop_mutex_;  // Only one thread joins.
+  std::mutex stop_mutex_;  // Ensures that only one thread joins thread_.
   std::thread thread_;
 };
 
@@ -116,8 +116,8 @@
   request.path = PathOf(stream_);
   request.etag = *requested_etag_;
   request.connect_timeout = settings_.connect_timeout;
-  request.whole_timeout = settings_.read_timeout;
-  request.max_body = kMaxSourceBody;
+  request.total_timeout = settings_.read_timeout;
+  request.max_body_bytes = kMaxSourceBody;
   running_ = MakeBoundedGet(request, watchdog_);
   running_etag_ = request.etag;
   requested_etag_.reset();
@@ -127,7 +127,7 @@
 SourceAnswered StreamFetcher::Answer() {
   const std::shared_ptr<BoundedGet> get = running_;
   Outcome<SourceAnswered> outcome =
-      Resolve([&] { return ReadAnswer(stream_, running_etag_, *get); });
+      Resolve([&] { return FetchAnswer(stream_, running_etag_, *get); });
   SourceAnswered answered;
   if (outcome) {
     answered = std::move(outcome.value());
--- a/src/source/source_client.h
+++ b/src/source/source_client.h
@@ -1,4 +1,4 @@
-// Reads the platform's configuration service over HTTP, off the deciding thread.
+// Reads the platform's configuration service over HTTP on threads of its own.
 #pragma once
 
 #include <functional>
@@ -13,25 +13,28 @@
 struct SourceClientSettings {
   SocketAddress address;
   Duration connect_timeout = std::chrono::seconds(1);
-  Duration read_timeout = std::chrono::seconds(2);  // Of the whole answer.
+  Duration read_timeout = std::chrono::seconds(2);  // Limit for the complete response.
 };
 
 class SourceClient {
  public:
-  // Called from the client's own threads (one per stream) with the answer to each Fetch; not after
-  // Stop().
+  // Called on the client's own threads (one per stream) with the result of each Fetch(). Not called
+  // after Stop() has returned.
   using Receiver = std::function<void(SourceAnswered)>;
 
   virtual ~SourceClient() = default;
-  // Starts one conditional GET; the answer goes to the receiver. Any thread; never blocks.
+  // Starts one conditional GET whose result is passed to the receiver. May be called on any thread
+  // and never blocks.
   virtual void Fetch(const FetchFromSource& request) = 0;
-  // Cuts what is under way and ends the threads. Idempotent; not from the receiver.
+  // Cancels requests in progress and joins the threads. Idempotent. Must not be called from the
+  // receiver.
   virtual void Stop() = 0;
 };
 
-// Starts the client's threads. Faulty bodies come back as kFailed (kMalformedJson, kOversized,
-// kSourceBadAnswer, kSourceTimeout, kSourceUnreachable) with place and cause; a readable document
-// whose table has faults comes back as kNew with its faults, so that they can be shown.
+// Starts the client's threads. A failed request or an unusable body is reported as kFailed with an
+// error (kMalformedJson, kOversized, kSourceBadAnswer, kSourceTimeout, kSourceUnreachable) that has
+// a place and a cause. A readable document whose table has faults is reported as kNew with its
+// faults, so that they can be shown.
 std::unique_ptr<SourceClient> StartSourceClient(const SourceClientSettings& settings,
                                                 SourceClient::Receiver receiver);
 
--- a/src/source/watchdog.cc
+++ b/src/source/watchdog.cc
@@ -5,7 +5,7 @@
 namespace copperlead {
 namespace {
 
-constexpr Duration kLongestWait = std::chrono::hours(1);
+constexpr Duration kMaxWait = std::chrono::hours(1);
 
 }  // namespace
 
@@ -34,12 +34,12 @@
 }
 
 Timestamp Watchdog::NextDeadline() const {
-  Timestamp next = SteadyClock().Now() + kLongestWait;
+  Timestamp next = SteadyClock().Now() + kMaxWait;
   for (const auto& [number, entry] : entries_) next = std::min(next, entry.deadline);
   return next;
 }
 
-void Watchdog::CallDue() {
+void Watchdog::CallDueAlarms() {
   const Timestamp now = SteadyClock().Now();
   std::erase_if(entries_, [&](const auto& numbered) {
     const Entry& entry = numbered.second;
@@ -52,9 +52,10 @@
 void Watchdog::Run() {
   std::unique_lock lock(mutex_);
   while (!stopping_) {
-    // As a time span: condition variables wait by a clock that stands still in a suspended machine.
+    // A relative wait, because condition variables wait on a clock that stops while the machine is
+    // suspended.
     changed_.wait_for(lock, NextDeadline() - SteadyClock().Now());
-    CallDue();
+    CallDueAlarms();
   }
 }
 
--- a/src/source/watchdog.h
+++ b/src/source/watchdog.h
@@ -1,4 +1,5 @@
-// Calls functions at their deadlines unless they are disarmed first. One thread for all.
+// Calls functions at their deadlines unless they are disarmed first. All of them are called on one
+// thread.
 #pragma once
 
 #include <condition_variable>
@@ -21,11 +22,12 @@
   Watchdog(const Watchdog&) = delete;
   Watchdog& operator=(const Watchdog&) = delete;
 
-  // Has `alarm` called at `deadline` on the watchdog's thread. Any thread.
-  // @return the number to disarm it with.
+  // Schedules a call of `alarm` at `deadline` on the watchdog's thread. May be called on any
+  // thread.
+  // @return the number that Disarm() takes.
   std::uint64_t Arm(Timestamp deadline, Alarm alarm);
-  // Once this returns the alarm is neither running nor will it be called. Any thread but the
-  // watchdog's.
+  // Once this returns, the alarm is not running and will not be called. May be called on any thread
+  // except the watchdog's own.
   void Disarm(std::uint64_t number);
 
  private:
@@ -36,9 +38,9 @@
 
   void Run();
   Timestamp NextDeadline() const;
-  void CallDue();
+  void CallDueAlarms();
 
-  std::mutex mutex_;  // Guards all below; held while an alarm runs.
+  std::mutex mutex_;  // Guards the members below; held while an alarm runs.
   std::condition_variable changed_;
   std::map<std::uint64_t, Entry> entries_;
   std::uint64_t last_number_ = 0;
--- a/tests/source/source_client_test.cc
+++ b/tests/source/source_client_test.cc
@@ -17,7 +17,7 @@
 namespace copperlead {
 namespace {
 
-constexpr auto kGenerousWait = std::chrono::seconds(20);
+constexpr auto kMaxTestWait = std::chrono::seconds(20);
 constexpr char kConfiguration[] =
     R"({"revision":7,"table":"service,route,old_weight,new_weight,timeout_ms,requests_per_second,)"
     R"(max_in_flight,max_retries,repeatable,secret\npermit-desk,/permits,90,10,500,0,0,1,by-method,\n",)"
@@ -27,7 +27,7 @@
     R"({"sequence":31,"machines":[{"id":"node-1","kind":"node","zone":"ank-a",)"
     R"("address":"127.0.0.1:7001","state":"leaving"}]})";
 
-// Collects the client's answers.
+// Collects the results that the client reports.
 class Answers {
  public:
   SourceClient::Receiver receiver() {
@@ -40,7 +40,7 @@
 
   SourceAnswered Next() {
     std::unique_lock lock(mutex_);
-    if (!changed_.wait_for(lock, kGenerousWait, [&] { return !answers_.empty(); })) {
+    if (!changed_.wait_for(lock, kMaxTestWait, [&] { return !answers_.empty(); })) {
       ADD_FAILURE() << "no answer";
       return {};
     }
@@ -62,7 +62,7 @@
   return settings;
 }
 
-// A well-behaved HTTP server.
+// A regular HTTP server.
 class HttpSource {
  public:
   HttpSource() : port_(server.bind_to_any_port("127.0.0.1")) {}
@@ -83,8 +83,9 @@
   std::thread thread_;
 };
 
-// Accepts one connection, sends `start` at once and then `repeated` over and over, with a pause
-// before each, until the client goes away or the test ends. Never reads.
+// Accepts one connection, sends `start` at once and then `repeated` again and again, with a pause
+// before each, until the client disconnects or the test ends. Reads no request before it has
+// stopped sending.
 class RawSource {
  public:
   RawSource(std::string start, std::string repeated, Milliseconds pause, bool close_after_start)
@@ -199,13 +200,13 @@
     int status;
     std::string body;
     ErrorKind expected;
-    std::string expected_cause;  // Part of it.
+    std::string expected_cause;  // Expected part of the cause.
   };
   const std::vector<Case> cases = {
       {"server error", 500, kConfiguration, ErrorKind::kSourceBadAnswer, "500"},
       {"not found", 404, "", ErrorKind::kSourceBadAnswer, "404"},
       {"empty success", 204, "", ErrorKind::kSourceBadAnswer, "204"},
-      {"304 nobody asked for", 304, "", ErrorKind::kSourceBadAnswer, "304"},
+      {"304 to an unconditional request", 304, "", ErrorKind::kSourceBadAnswer, "304"},
       {"redirect", 302, "", ErrorKind::kSourceBadAnswer, "302"},
       {"empty", 200, "", ErrorKind::kMalformedJson, ""},
       {"cut", 200, std::string(kConfiguration).substr(0, 90), ErrorKind::kMalformedJson, ""},
@@ -223,7 +224,7 @@
     response.set_content(cases[current].body, "application/json");
   });
   SourceClientSettings settings = SettingsFor(source.Start());
-  settings.read_timeout = std::chrono::seconds(10);  // The oversized body may take its time.
+  settings.read_timeout = std::chrono::seconds(10);  // Leaves time to transfer the oversized body.
   Answers answers;
   const auto client = StartSourceClient(settings, answers.receiver());
   for (std::size_t index = 0; index < cases.size(); ++index) {
@@ -235,7 +236,8 @@
         << cases[index].name << ": " << ToString(answered.error);
     EXPECT_NE(answered.error.cause.find(cases[index].expected_cause), std::string::npos)
         << cases[index].name << ": " << answered.error.cause;
-    EXPECT_EQ(requests, static_cast<int>(index) + 1) << "no redirect followed, nothing repeated";
+    EXPECT_EQ(requests, static_cast<int>(index) + 1)
+        << "a redirect was followed or a request repeated";
   }
 }
 
@@ -243,7 +245,7 @@
   const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n";
   const std::string chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   const std::string megabyte(1 << 20, ' ');
-  const Milliseconds drip(20);
+  const Milliseconds write_interval(20);
   struct Case {
     const char* name;
     std::string start;
@@ -253,27 +255,28 @@
     ErrorKind expected;
   };
   const std::vector<Case> cases = {
-      {"says nothing", "", "", drip, false, ErrorKind::kSourceTimeout},
-      {"drips its status line", "", "H", drip, false, ErrorKind::kSourceTimeout},
-      {"drips its headers", "HTTP/1.1 200 OK\r\n", "A: b\r\n", drip, false,
+      {"sends nothing", "", "", write_interval, false, ErrorKind::kSourceTimeout},
+      {"sends its status line slowly", "", "H", write_interval, false, ErrorKind::kSourceTimeout},
+      {"sends its headers slowly", "HTTP/1.1 200 OK\r\n", "A: b\r\n", write_interval, false,
        ErrorKind::kSourceTimeout},
-      {"drips its body", head, " ", drip, false, ErrorKind::kSourceTimeout},
-      {"drips chunks", chunked, "1\r\n \r\n", drip, false, ErrorKind::kSourceTimeout},
-      {"hangs within the body", head + "{", "", drip, false, ErrorKind::kSourceTimeout},
-      {"sends chunks without end", chunked, "100000\r\n" + megabyte + "\r\n", Milliseconds(0),
-       false, ErrorKind::kOversized},
-      {"claims more than allowed", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n",
+      {"sends its body slowly", head, " ", write_interval, false, ErrorKind::kSourceTimeout},
+      {"sends chunks slowly", chunked, "1\r\n \r\n", write_interval, false,
+       ErrorKind::kSourceTimeout},
+      {"hangs within the body", head + "{", "", write_interval, false, ErrorKind::kSourceTimeout},
+      {"sends endless chunks", chunked, "100000\r\n" + megabyte + "\r\n", Milliseconds(0), false,
+       ErrorKind::kOversized},
+      {"announces a body over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n",
        megabyte, Milliseconds(0), false, ErrorKind::kOversized},
-      {"closes at once", "", "", drip, true, ErrorKind::kSourceBadAnswer},
-      {"closes within the body", head + "{", "", drip, true, ErrorKind::kSourceBadAnswer},
-      {"does not speak HTTP", "SSH-2.0-server\r\n\r\n", "", drip, true,
+      {"closes at once", "", "", write_interval, true, ErrorKind::kSourceBadAnswer},
+      {"closes within the body", head + "{", "", write_interval, true, ErrorKind::kSourceBadAnswer},
+      {"does not speak HTTP", "SSH-2.0-server\r\n\r\n", "", write_interval, true,
        ErrorKind::kSourceBadAnswer},
   };
   for (const Case& entry : cases) {
     const RawSource source(entry.start, entry.repeated, entry.pause, entry.close_after_start);
     Answers answers;
     SourceClientSettings settings = SettingsFor(source.port());
-    if (entry.expected != ErrorKind::kSourceTimeout) settings.read_timeout = kGenerousWait;
+    if (entry.expected != ErrorKind::kSourceTimeout) settings.read_timeout = kMaxTestWait;
     const auto client = StartSourceClient(settings, answers.receiver());
     client->Fetch({StreamKind::kMachines, ""});
     const SourceAnswered answered = answers.Next();
@@ -307,13 +310,13 @@
     response.set_content(kMachines, "application/json");
   });
   SourceClientSettings settings = SettingsFor(source.Start());
-  settings.read_timeout = kGenerousWait;
+  settings.read_timeout = kMaxTestWait;
   Answers answers;
   const auto client = StartSourceClient(settings, answers.receiver());
   client->Fetch({StreamKind::kConfiguration, ""});
   client->Fetch({StreamKind::kMachines, ""});
   EXPECT_EQ(answers.Next().stream, StreamKind::kMachines);
-  client->Stop();  // Cuts the hanging request; no answer comes for it.
+  client->Stop();  // Cancels the hanging request, for which no result is reported.
   release = true;
 }
 
