--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -1,4 +1,4 @@
-// What is known of one node, and what a node tells of itself in every message.
+// What is known about one node, and what a node reports about itself in every message.
 #pragma once
 
 #include <cstddef>
@@ -16,44 +16,45 @@
 
 enum class MemberState : std::uint8_t {
   kAlive,
-  kSuspect,  // Did not answer a probe; dead unless it refutes in time.
-  kLeaving,  // Drains; takes no role and gets no new push duties.
+  kSuspect,  // Did not answer a probe; is declared dead unless it refutes this in time.
+  kLeaving,  // Is draining; holds no role and is not given new pushes to forward.
   kDead,
 };
 
-// A member as gossiped. Incarnation orders statements about one node: only the node itself raises
-// it. At equal incarnation kDead > kLeaving > kSuspect > kAlive.
+// A member as it is gossiped. Statements about one node are ordered by incarnation, which only the
+// node itself raises. At equal incarnation kDead > kLeaving > kSuspect > kAlive.
 struct MemberRecord {
   NodeId id;
   ZoneName zone;
-  SocketAddress address;  // Peer address.
+  SocketAddress address;  // Address for messages from peers.
   MemberState state = MemberState::kAlive;
   std::uint32_t incarnation = 0;
-  // Highest configuration that this node was seen to run: a lower bound, since it never falls.
+  // Highest configuration that this node is known to have run. It is a lower bound, because a node
+  // never runs an older one again.
   DocumentVersion configuration;
 
   bool operator==(const MemberRecord&) const = default;
 };
 
-// A version that a node has refused, as gossiped.
+// A version that a node has refused, as it is gossiped.
 struct RefusedVersion {
   DocumentVersion version;
   NodeId node;
-  std::string explanation;  // For operators; at most kMaxExplanationBytes.
+  std::string explanation;  // Text for operators; at most kMaxExplanationBytes long.
 
   bool operator==(const RefusedVersion&) const = default;
 };
 
 inline constexpr std::size_t kMaxExplanationBytes = 200;
 
-// What each message says of its sender. Every message is a heartbeat.
+// What each message reports about its sender. Every message serves as a heartbeat.
 struct NodeSummary {
   MemberRecord record;
   DocumentVersion machines;
   // Hash over (id, incarnation, state) of all members the sender believes alive; peers whose
   // hashes keep differing exchange their lists.
   std::uint64_t membership_hash = 0;
-  // The latest version above the sender's that any node is known to have refused.
+  // The latest version above the sender's own that any node is known to have refused.
   std::optional<RefusedVersion> refused{};
 
   bool operator==(const NodeSummary&) const = default;
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -1,4 +1,4 @@
-// The closed list of messages between nodes. Plain typed values; bytes are transport/frame.h's.
+// All messages between nodes, as plain typed values. transport/frame.h defines their encoding.
 #pragma once
 
 #include <algorithm>
@@ -17,10 +17,10 @@
 
 // --- Membership ---
 
-// "Are you there?" Answered by PingAck with the same number.
+// Checks whether the receiver answers. Answered by a PingAck with the same number.
 struct Ping {
   std::uint32_t number = 0;
-  std::vector<MemberRecord> updates;  // Piggybacked news of other members.
+  std::vector<MemberRecord> updates;  // Piggybacked updates about members.
 };
 
 struct PingAck {
@@ -28,7 +28,7 @@
   std::vector<MemberRecord> updates;
 };
 
-// "Ping that node for me." The receiver passes a positive answer back as PingAck.
+// Asks the receiver to ping the target and to pass a positive answer back as a PingAck.
 struct PingRequest {
   std::uint32_t number = 0;
   NodeId target_id;
@@ -36,65 +36,66 @@
   std::vector<MemberRecord> updates;
 };
 
-// Asks for the receiver's member list, and for what it remembers of the sender. Sent at start,
-// after a pause, and when membership hashes keep differing.
+// Requests the receiver's member list and what it remembers about the sender. Sent at start, after
+// a pause, and when membership hashes keep differing.
 struct JoinRequest {};
 
 struct JoinReply {
-  // The highest configuration the receiver remembers the asking node to have run.
+  // The highest configuration that the replying node remembers the requesting node to have run.
   DocumentVersion remembered;
   std::vector<MemberRecord> members;
 };
 
 // --- Distribution ---
 
-// Longest ETag that is handed on.
+// Maximum length of an ETag that is forwarded.
 inline constexpr std::size_t kMaxSourceTagBytes = 128;
 
-// True when an ETag may be handed on: neither too long nor with a byte that could end or split the
-// header line in which the receiver sends it. Others are left out by senders and refused by
-// receivers.
+// True when an ETag may be forwarded. It must not be too long and must contain no byte that could
+// end or split the header line in which the receiver sends it. Senders leave other ETags out and
+// receivers reject them.
 inline bool MayHandOnEtag(std::string_view etag) {
   const auto is_plain = [](char byte) { return byte < '\0' || (byte > ' ' && byte != '\x7f'); };
   return etag.size() <= kMaxSourceTagBytes && std::all_of(etag.begin(), etag.end(), is_plain);
 }
 
-// A version handed down the push tree, or sent as the answer to a Pull.
+// A version sent down the push tree, or the answer to a Pull.
 struct Push {
   Transfer transfer;
-  // Node at the root of the tree this push belongs to; empty: an answer to a Pull, not forwarded.
+  // Node at the root of the push tree. Empty for an answer to a Pull, which is not forwarded.
   NodeId root;
-  // The source's ETag for the document whose content the version has; empty: not known.
+  // The source's ETag for the document whose content the version has, or empty if it is not known.
   // MayHandOnEtag holds.
   std::string source_tag;
 };
 
-// "I run this version, or a newer one."
+// Reports that the sender runs this version or a newer one.
 struct PushAck {
   StreamKind stream = StreamKind::kConfiguration;
   DocumentVersion version;
 };
 
-// "Send me what is newer than this." Answered by Push or Busy.
+// Requests everything newer than `have`. Answered by Push or Busy.
 struct Pull {
   StreamKind stream = StreamKind::kConfiguration;
-  DocumentVersion have;  // None: send the whole document.
+  DocumentVersion have;  // An empty version requests the complete document.
 };
 
-// "Ask again, me or another, after this time."
+// Asks the receiver to repeat its Pull after a time, to this node or to another one.
 struct Busy {
   StreamKind stream = StreamKind::kConfiguration;
   std::uint32_t retry_after_ms = 0;
 };
 
-// Asks a member for its summary (which rides on the answer); sent to laggards for `status`.
+// Requests the summary of a member, which every answer carries. Sent for `status` to members that
+// lag behind.
 struct StatusQuery {};
 struct StatusReply {};
 
 using MessageBody = std::variant<Ping, PingAck, PingRequest, JoinRequest, JoinReply, Push, PushAck,
                                  Pull, Busy, StatusQuery, StatusReply>;
 
-// In the order of MessageBody.
+// Names of the bodies in the order of MessageBody.
 inline constexpr std::array<std::string_view, std::variant_size_v<MessageBody>> kMessageBodyNames =
     {"ping",     "ping_ack", "ping_request", "join_request", "join_reply",  "push",
      "push_ack", "pull",     "busy",         "status_query", "status_reply"};
@@ -104,7 +105,7 @@
   MessageBody body;
 };
 
-// One message to send. The sender's summary is added when it leaves the deciding code.
+// One message to send. The caller adds the sender's summary.
 struct OutgoingMessage {
   SocketAddress to;
   MessageBody body;
--- a/src/membership/random.h
+++ b/src/membership/random.h
@@ -1,4 +1,4 @@
-// Random choices of the deciding code: same seed, same choices on every platform.
+// Random choices that are reproducible: the same seed gives the same choices on every platform.
 #pragma once
 
 #include <cstddef>
@@ -10,13 +10,13 @@
 
 using RandomEngine = std::mt19937_64;
 
-// @return a number in [0, bound); 0 for a bound of 0. The bias of the remainder is negligible for
-//         bounds far below 2^64.
+// @return a number in [0, bound), or 0 if bound is 0. The modulo bias is negligible for bounds far
+//         below 2^64.
 inline std::size_t RandomBelow(RandomEngine& random, std::size_t bound) {
   return bound == 0 ? 0 : static_cast<std::size_t>(random() % bound);
 }
 
-// @return a duration in [0, bound).
+// @return a duration in [0, bound), or zero if bound is not positive.
 inline Duration RandomDuration(RandomEngine& random, Duration bound) {
   const auto count = bound.count();
   if (count <= 0) return Duration::zero();
--- a/src/membership/update_queue.h
+++ b/src/membership/update_queue.h
@@ -1,7 +1,7 @@
-// News of members that wait to ride on messages: each is sent a bounded number of times, those
-// sent least often first, newest first among them.
+// Queue of updates about members that are piggybacked on messages. Each is sent a limited number of
+// times. Updates sent least often come first, the newest first among them.
 //
-// Holds ids only; what is sent is the record as it stands when the message leaves. Not thread-safe.
+// Holds ids only; the record is read when the message is sent. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,7 @@
 
 class UpdateQueue {
  public:
-  // Queues news of a member, or starts its sends anew.
+  // Queues an update about a member, or resets the number of its sends.
   void Add(const NodeId& id);
   void Remove(const NodeId& id);
   void Clear();
@@ -33,7 +33,7 @@
   // Order of sending.
   struct Place {
     std::size_t sends = 0;
-    std::uint64_t age = 0;  // Falls with each Add, so newer ones sort first.
+    std::uint64_t age = 0;  // Decreases with each Add, so that newer updates sort first.
     NodeId id;
 
     bool operator<(const Place& other) const {
