--- a/src/membership/joiner.cc
+++ b/src/membership/joiner.cc
@@ -6,10 +6,10 @@
 namespace copperlead {
 namespace {
 
-// Attempts start this far apart, in probe intervals, and double up to the limit.
-constexpr int kBackoffLimit = 16;
-// Once somebody has answered, this many more attempts are made to hear join_contacts nodes.
-constexpr std::size_t kAttemptsAfterAnswer = 3;
+// Limit of the backoff between attempts, in probe intervals. It starts at one and doubles.
+constexpr int kMaxBackoffIntervals = 16;
+// Number of further attempts to get replies from join_contacts nodes after the first reply.
+constexpr std::size_t kAttemptsAfterReply = 3;
 
 }  // namespace
 
@@ -23,13 +23,13 @@
 void Joiner::Start(Timestamp now) {
   next_attempt_ = now;
   attempts_ = 0;
-  attempts_after_answer_ = 0;
-  answered_.clear();
+  attempts_after_reply_ = 0;
+  replied_.clear();
 }
 
 std::vector<SocketAddress> Joiner::Advance(Timestamp now, const MemberList& members) {
   if (!next_attempt_ || now < *next_attempt_) return {};
-  if (!answered_.empty() && ++attempts_after_answer_ > kAttemptsAfterAnswer) {
+  if (!replied_.empty() && ++attempts_after_reply_ > kAttemptsAfterReply) {
     next_attempt_.reset();
     return {};
   }
@@ -39,26 +39,26 @@
     std::swap(targets[index], targets[index + RandomBelow(random_, targets.size() - index)]);
   }
   targets.resize(count);
-  const int factor = std::min(1 << std::min<std::size_t>(attempts_, 8), kBackoffLimit);
+  const int factor = std::min(1 << std::min<std::size_t>(attempts_, 8), kMaxBackoffIntervals);
   ++attempts_;
   const Duration backoff = settings_.probe_interval * factor;
   next_attempt_ = now + backoff / 2 + RandomDuration(random_, backoff / 2);
   return targets;
 }
 
-void Joiner::TakeAnswer(const NodeId& sender, const DocumentVersion& remembered,
-                        const DocumentVersion& running) {
-  answered_.insert(sender);
-  if (IsNewer(remembered, highest_heard_)) highest_heard_ = remembered;
-  if (IsNewer(running, highest_heard_)) highest_heard_ = running;
-  if (answered_.size() >= settings_.join_contacts) next_attempt_.reset();
+void Joiner::RecordReply(const NodeId& sender, const DocumentVersion& remembered,
+                         const DocumentVersion& running) {
+  replied_.insert(sender);
+  if (IsNewer(remembered, highest_version_received_)) highest_version_received_ = remembered;
+  if (IsNewer(running, highest_version_received_)) highest_version_received_ = running;
+  if (replied_.size() >= settings_.join_contacts) next_attempt_.reset();
 }
 
 std::vector<SocketAddress> Joiner::Targets(const MemberList& members) const {
   std::set<SocketAddress> addresses(contacts_.begin(), contacts_.end());
   for (const auto& [id, member] : members.members()) {
     const auto& record = member.record;
-    if (answered_.contains(id)) {
+    if (replied_.contains(id)) {
       addresses.erase(record.address);
     } else if (record.state != MemberState::kDead) {
       addresses.insert(record.address);
--- a/src/membership/joiner.h
+++ b/src/membership/joiner.h
@@ -1,5 +1,5 @@
-// Joining the fleet: asks some contacts and members for their lists, again with backoff and jitter
-// until enough have answered. Not thread-safe.
+// Joins the fleet: requests the member lists of some contacts and members, and repeats this with
+// backoff and jitter until enough of them have replied. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -21,19 +21,20 @@
   void AddContacts(const std::vector<SocketAddress>& contacts);
   const std::vector<SocketAddress>& contacts() const { return contacts_; }
 
-  // Begins anew; answers heard before count no longer.
+  // Starts joining again; replies received earlier no longer count.
   void Start(Timestamp now);
-  // @return addresses to send a JoinRequest to now; call at or after NextDeadline().
+  // Must be called at or after NextDeadline().
+  // @return the addresses to send a JoinRequest to now.
   std::vector<SocketAddress> Advance(Timestamp now, const MemberList& members);
-  // @return none when nothing more is to be asked.
+  // @return nullopt when no further request is planned.
   std::optional<Timestamp> NextDeadline() const { return next_attempt_; }
 
-  // Takes a JoinReply. Answers from nodes that answered before count once.
-  void TakeAnswer(const NodeId& sender, const DocumentVersion& remembered,
-                  const DocumentVersion& running);
-  std::size_t answers() const { return answered_.size(); }
-  const DocumentVersion& highest_heard() const { return highest_heard_; }
-  // True between Start() and enough answers.
+  // Records a JoinReply. Several replies from one node count once.
+  void RecordReply(const NodeId& sender, const DocumentVersion& remembered,
+                   const DocumentVersion& running);
+  std::size_t reply_count() const { return replied_.size(); }
+  const DocumentVersion& highest_version_received() const { return highest_version_received_; }
+  // True from Start() until enough replies have arrived or the attempts are used up.
   bool joining() const { return next_attempt_.has_value(); }
 
  private:
@@ -44,9 +45,9 @@
   std::vector<SocketAddress> contacts_;
   std::optional<Timestamp> next_attempt_;
   std::size_t attempts_ = 0;
-  std::size_t attempts_after_answer_ = 0;
-  std::set<NodeId> answered_;
-  DocumentVersion highest_heard_;
+  std::size_t attempts_after_reply_ = 0;
+  std::set<NodeId> replied_;
+  DocumentVersion highest_version_received_;
 };
 
 }  // namespace copperlead
--- a/src/membership/member_list.cc
+++ b/src/membership/member_list.cc
@@ -8,7 +8,7 @@
 namespace copperlead {
 namespace {
 
-// Order of statements of one incarnation.
+// Order of statements with equal incarnation.
 int Rank(MemberState state) {
   switch (state) {
     case MemberState::kAlive:
@@ -34,7 +34,8 @@
   return XXH3_64bits_withSeed(record.id.data(), record.id.size(), seed);
 }
 
-// True when replacing `before` by `after` changes who is eligible, or where.
+// True when replacing `before` by `after` changes eligibility, or the zone or address of an
+// eligible member.
 bool AffectsEligibility(const MemberRecord& before, const MemberRecord& after) {
   const bool stays = IsLive(before.state) && IsLive(after.state);
   if (!stays) return IsLive(before.state) != IsLive(after.state);
@@ -81,27 +82,28 @@
   const auto result = Apply(now, summary.record);
   Member& member = members_.at(summary.record.id);
   if (summary.record.incarnation < member.record.incarnation) return result;
-  const bool first_hearing = member.last_heard == Timestamp{};
+  const bool first_contact = member.last_heard == Timestamp{};
   const bool moved =
       member.record.zone != summary.record.zone || member.record.address != summary.record.address;
-  if (first_hearing && moved) {
-    // What was held came from the platform's list or by gossip; the node itself knows better.
+  if (first_contact && moved) {
+    // The record came from the platform's list or from gossip; the node itself is authoritative.
     member.record.zone = summary.record.zone;
     member.record.address = summary.record.address;
     ++eligibility_version_;
   }
-  const bool new_life = result != ApplyResult::kUnchanged;
-  if (new_life || IsNewer(summary.machines, member.machines)) member.machines = summary.machines;
+  const bool record_changed = result != ApplyResult::kUnchanged;
+  if (record_changed || IsNewer(summary.machines, member.machines))
+    member.machines = summary.machines;
   member.last_heard = now;
   return result;
 }
 
-void MemberList::AddRemembered(Timestamp now, const MemberRecord& record) {
+void MemberList::AddDeadFromOtherList(Timestamp now, const MemberRecord& record) {
   Apply(now, record);
-  members_.at(record.id).remembered_by_others = true;
+  members_.at(record.id).known_from_other_list = true;
 }
 
-void MemberList::Restore(Timestamp now, const NodeId& id) {
+void MemberList::RestoreAlive(Timestamp now, const NodeId& id) {
   const auto found = members_.find(id);
   if (found == members_.end()) return;
   auto alive = found->second.record;
@@ -138,9 +140,10 @@
 
 const std::vector<const MemberRecord*>& MemberList::Eligible() const {
   if (eligible_built_at_ == eligibility_version_) return eligible_;
-  const auto staffed = ZonesWithStayingMembers();
+  const auto zones_with_staying = ZonesWithStayingMembers();
   const auto is_eligible = [&](const MemberRecord& record) {
-    const bool loses_role = platform_leaving_.contains(record.id) && staffed.contains(record.zone);
+    const bool loses_role =
+        platform_leaving_.contains(record.id) && zones_with_staying.contains(record.zone);
     return IsLive(record.state) && !loses_role;
   };
   eligible_.clear();
@@ -157,7 +160,8 @@
   return eligible_;
 }
 
-// Only there the platform's word that a node leaves costs it its role.
+// Zones that keep at least one live member. Only in these does a node lose its role when the
+// platform lists it as leaving.
 std::set<ZoneName> MemberList::ZonesWithStayingMembers() const {
   std::set<ZoneName> zones;
   if (platform_leaving_.empty()) return zones;
@@ -190,7 +194,7 @@
   member.record.configuration = configuration;
   Count(member.record);
   if (state_changes) member.state_since = now;
-  member.remembered_by_others = false;
+  member.known_from_other_list = false;
   if (affects_eligibility) ++eligibility_version_;
   const bool is_dead = statement.state == MemberState::kDead;
   return was_dead && !is_dead ? ApplyResult::kRevived : ApplyResult::kChanged;
--- a/src/membership/member_list.h
+++ b/src/membership/member_list.h
@@ -1,7 +1,8 @@
-// The members one node knows, and the rule by which a statement about a member replaces another.
+// The members that one node knows, and the rule by which one statement about a member replaces
+// another.
 //
 // Statements about one node are ordered by incarnation, then dead > leaving > suspect > alive. The
-// configuration in a record stands outside that order: it is a lower bound, merged by maximum.
+// configuration in a record is not part of that order: it is a lower bound, merged by maximum.
 // Not thread-safe.
 #pragma once
 
@@ -17,15 +18,15 @@
 
 namespace copperlead {
 
-// True when `statement` replaces `held`; both are about one node. Equal statements do not.
+// True when `statement` replaces `held`, which is about the same node. An equal statement does not.
 bool Outranks(const MemberRecord& statement, const MemberRecord& held);
 
 // What a statement did to the list.
 enum class ApplyResult : std::uint8_t {
-  kUnchanged,  // Known already, or outranked; its configuration may still have been merged.
-  kChanged,    // Replaced what was held of a known member.
+  kUnchanged,  // Already known or outranked; its configuration may still have been merged.
+  kChanged,    // Replaced the record of a known member.
   kRevived,    // Replaced the record of a dead member by one that is not dead.
-  kAdded,      // A member not known before.
+  kAdded,      // Added a member that was not known before.
 };
 
 class MemberList {
@@ -33,39 +34,44 @@
   explicit MemberList(MemberRecord self);
 
   const MemberRecord& self() const { return self_; }
-  // Replaces state and incarnation of this node; the incarnation must not fall.
+  // Replaces the state and incarnation of this node. The incarnation must not decrease.
   void SetSelf(MemberState state, std::uint32_t incarnation);
-  // Takes `configuration` unless it is older than the present one.
+  // Sets this node's configuration unless `configuration` is older than the current one.
   void SetSelfConfiguration(const DocumentVersion& configuration);
 
   const std::map<NodeId, Member>& members() const { return members_; }
-  // @return the member, or null. Never finds this node.
+  // @return the member, or null if it is not known. This node is never found.
   const Member* Find(const NodeId& id) const;
 
-  // Takes a statement about another node, from whatever source.
+  // Applies a statement about another node, whatever its source.
   ApplyResult Apply(Timestamp now, const MemberRecord& statement);
-  // Takes what a node says of itself; also records that it was heard, unless the summary is of an
-  // earlier incarnation than the one known.
+  // Applies what a node reports about itself. Also records the time of contact, unless the summary
+  // is of an earlier incarnation than the one known.
   ApplyResult ApplySummary(Timestamp now, const NodeSummary& summary);
-  // Adds a dead member that another node remembered; it is forgotten sooner, and not listed on.
-  void AddRemembered(Timestamp now, const MemberRecord& record);
-  // Puts a member back to alive at its incarnation: only for verdicts that this node never spread.
-  void Restore(Timestamp now, const NodeId& id);
-  // Marks members that the platform lists as leaving: not eligible while another of their zone is.
+  // Adds a dead member learned from another node's list. It is left out of the lists that this node
+  // sends, so that the fleet forgets it sooner.
+  void AddDeadFromOtherList(Timestamp now, const MemberRecord& record);
+  // Sets a member back to alive at its present incarnation. This is allowed only for verdicts that
+  // this node has never gossiped.
+  void RestoreAlive(Timestamp now, const NodeId& id);
+  // Marks or unmarks a member that the platform lists as leaving. Such a member is not eligible
+  // while its zone has a live one that is not leaving.
   void SetPlatformLeaving(const NodeId& id, bool leaving);
-  // Drops members that have been dead for `age`.
-  // @return their ids.
+  // Removes members that have been dead for at least `age`.
+  // @return the ids of the removed members.
   std::vector<NodeId> ForgetDead(Timestamp now, Duration age);
 
-  // Over (id, incarnation, state) of this node and all members that are not dead.
+  // Hash over (id, incarnation, state) of this node and all members that are not dead.
   std::uint64_t hash() const { return hash_; }
   std::size_t dead_count() const { return dead_count_; }
-  // Alive or suspect nodes, this one included; at least 1.
+  // Number of nodes that are alive or suspect, including this one; at least 1.
   std::size_t LiveCount() const;
-  // Rises with every change of who is eligible, or of an eligible member's zone or address.
+  // Increases when a member becomes or ceases to be eligible, and when the zone or address of an
+  // eligible member changes.
   std::uint64_t eligibility_version() const { return eligibility_version_; }
 
-  // Sorted by id, this node included; valid until the next non-const call.
+  // The eligible nodes sorted by id, including this node if it is eligible. Valid until the next
+  // non-const call.
   const std::vector<const MemberRecord*>& Eligible() const;
 
  private:
@@ -81,9 +87,9 @@
   std::set<NodeId> platform_leaving_;
   std::uint64_t hash_ = 0;
   std::size_t dead_count_ = 0;
-  std::size_t live_count_ = 0;  // Other members that are alive or suspect.
+  std::size_t live_count_ = 0;  // Number of other members that are alive or suspect.
   std::uint64_t eligibility_version_ = 1;
-  // Built on demand from the version beside it.
+  // Built on demand; eligible_built_at_ is the eligibility_version_ of the last build.
   mutable std::vector<const MemberRecord*> eligible_;
   mutable std::uint64_t eligible_built_at_ = 0;
 };
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -8,7 +8,7 @@
 namespace copperlead {
 namespace {
 
-// Members told at once that this node leaves.
+// Number of members that are notified directly when this node leaves.
 constexpr std::size_t kLeaveNotices = 8;
 
 }  // namespace
@@ -22,13 +22,13 @@
     record.state = MemberState::kAlive;
     record.incarnation = 0;
     members_.Apply(now, record);
-    prober_.Include(record.id);
+    prober_.AddToRound(record.id);
   }
 }
 
 std::vector<OutgoingMessage> Membership::Implementation::Join(Timestamp now) {
-  VoidTimers(now);
-  heard_fleet_ = false;
+  ResetTimers(now);
+  fleet_answered_ = false;
   joiner_.Start(now);
   exchange_.StartSettling(now);
   return Tick(now);
@@ -36,7 +36,7 @@
 
 std::vector<OutgoingMessage> Membership::Implementation::Tick(Timestamp now) {
   OutgoingMessages out;
-  VoidTimersAfterPause(now);
+  ResetTimersAfterPause(now);
   for (const auto& address : joiner_.Advance(now, members_)) {
     out.push_back({address, JoinRequest{}});
   }
@@ -59,12 +59,12 @@
   OutgoingMessages out;
   const auto& record = message.sender.record;
   if (record.id.empty()) return out;
-  VoidTimersAfterPause(now);
+  ResetTimersAfterPause(now);
   if (record.id == members_.self().id) {
-    TakeStatementAboutSelf(record);
+    ApplyStatementAboutSelf(record);
     return out;
   }
-  TakeSummary(now, message.sender);
+  ApplySummary(now, message.sender);
   const Envelope envelope{message.sender, record.address.empty() ? from : record.address};
   std::visit([&](const auto& body) { On(now, envelope, body, out); }, message.body);
   CompareHashes(now, envelope, out);
@@ -73,14 +73,14 @@
 
 std::vector<OutgoingMessage> Membership::Implementation::Leave(Timestamp now) {
   OutgoingMessages out;
-  VoidTimersAfterPause(now);
+  ResetTimersAfterPause(now);
   members_.SetSelf(MemberState::kLeaving, members_.self().incarnation + 1);
   const auto peers = PickPeers(random_, members_.Eligible(), kLeaveNotices, {members_.self().id});
   for (const auto& peer : peers) out.push_back(PingTo(peer.id, peer.address));
   return out;
 }
 
-// --- The public face ---
+// --- Public interface ---
 
 Membership::Membership(const MembershipSettings& settings, MemberRecord self, std::uint64_t seed,
                        Timestamp now)
@@ -151,12 +151,12 @@
 
 std::size_t Membership::LiveCount() const { return implementation_->members().LiveCount(); }
 
-std::size_t Membership::JoinReplies() const { return implementation_->joiner().answers(); }
+std::size_t Membership::JoinReplyCount() const { return implementation_->joiner().reply_count(); }
 
 const DocumentVersion& Membership::HighestHeard() const {
-  return implementation_->joiner().highest_heard();
+  return implementation_->joiner().highest_version_received();
 }
 
-bool Membership::HeardFleet() const { return implementation_->heard_fleet(); }
+bool Membership::FleetAnswered() const { return implementation_->fleet_answered(); }
 
 }  // namespace copperlead
--- a/src/membership/membership_implementation.h
+++ b/src/membership/membership_implementation.h
@@ -1,5 +1,6 @@
-// The parts of Membership and how they work together. Private to src/membership: its functions
-// stand in membership_timers.cc, membership_statements.cc and membership_messages.cc.
+// The parts of Membership and how they work together. Private to src/membership. The functions are
+// defined in membership.cc, membership_timers.cc, membership_statements.cc and
+// membership_messages.cc.
 #pragma once
 
 #include <cstddef>
@@ -19,8 +20,8 @@
 
 namespace copperlead {
 
-// True for states that the member itself refutes when it hears of them.
-inline bool IsDoubted(MemberState state) {
+// True for the states that a member refutes when it receives them about itself.
+inline bool IsSuspectOrDead(MemberState state) {
   return state == MemberState::kSuspect || state == MemberState::kDead;
 }
 
@@ -53,50 +54,53 @@
   DocumentVersion& machines() { return machines_; }
   std::optional<RefusedVersion>& refused() { return refused_; }
   NodeSummary Summary() const { return {members_.self(), machines_, members_.hash(), refused_}; }
-  bool heard_fleet() const { return heard_fleet_; }
+  bool fleet_answered() const { return fleet_answered_; }
 
  private:
-  // --- Time ---
-  void VoidTimersAfterPause(Timestamp now);
-  void VoidTimers(Timestamp now);
+  // --- Timers ---
+  void ResetTimersAfterPause(Timestamp now);
+  void ResetTimers(Timestamp now);
   void RunProber(Timestamp now, OutgoingMessages& out);
   void RunSuspicions(Timestamp now, OutgoingMessages& out);
   void PingDeadMember(OutgoingMessages& out);
   void ForgetDead(Timestamp now);
 
   // --- Verdicts of this node ---
-  void ProbeFailed(Timestamp now, const NodeId& id, OutgoingMessages& out);
+  void OnProbeFailed(Timestamp now, const NodeId& id, OutgoingMessages& out);
   void Declare(Timestamp now, const MemberRecord& statement, bool provisional);
-  void ProbeAnswered(Timestamp now);
+  void OnPeerAnswered(Timestamp now);
 
-  // --- Statements of others ---
-  void TakeSummary(Timestamp now, const NodeSummary& summary);
-  void TakeUpdates(Timestamp now, const std::vector<MemberRecord>& updates);
-  ApplyResult TakeStatement(Timestamp now, const MemberRecord& statement);
-  void FollowChange(Timestamp now, const NodeId& id, ApplyResult result, bool was_doubted);
-  void TakeStatementAboutSelf(const MemberRecord& statement);
-  void TakeList(Timestamp now, const std::vector<MemberRecord>& list);
+  // --- Statements from other nodes ---
+  void ApplySummary(Timestamp now, const NodeSummary& summary);
+  void ApplyUpdates(Timestamp now, const std::vector<MemberRecord>& updates);
+  ApplyResult ApplyStatement(Timestamp now, const MemberRecord& statement);
+  void OnRecordChanged(Timestamp now, const NodeId& id, ApplyResult result,
+                       bool was_suspect_or_dead);
+  void ApplyStatementAboutSelf(const MemberRecord& statement);
+  void ApplyList(Timestamp now, const std::vector<MemberRecord>& list);
 
-  // --- Messages by type; bodies of distribution need no more than their summary ---
+  // --- Messages by type; only the summary of distribution messages is used ---
   struct Envelope {
     const NodeSummary& sender;
     const SocketAddress& reply_to;
   };
   void On(Timestamp now, const Envelope& envelope, const Ping& ping, OutgoingMessages& out);
   void On(Timestamp now, const Envelope& envelope, const PingAck& ack, OutgoingMessages& out);
-  void On(Timestamp now, const Envelope& envelope, const PingRequest& ask, OutgoingMessages& out);
-  void On(Timestamp now, const Envelope& envelope, const JoinRequest& ask, OutgoingMessages& out);
+  void On(Timestamp now, const Envelope& envelope, const PingRequest& request,
+          OutgoingMessages& out);
+  void On(Timestamp now, const Envelope& envelope, const JoinRequest& request,
+          OutgoingMessages& out);
   void On(Timestamp now, const Envelope& envelope, const JoinReply& reply, OutgoingMessages& out);
   template <class Other>
   void On(Timestamp now, const Envelope& envelope, const Other&, OutgoingMessages& out) {
-    Correct(now, envelope, out);
+    CorrectSender(now, envelope, out);
   }
-  void Correct(Timestamp now, const Envelope& envelope, OutgoingMessages& out);
+  void CorrectSender(Timestamp now, const Envelope& envelope, OutgoingMessages& out);
   void CompareHashes(Timestamp now, const Envelope& envelope, OutgoingMessages& out);
 
   // --- What to send ---
   std::vector<MemberRecord> UpdatesFor(const NodeId& receiver, std::uint32_t known_incarnation);
-  std::vector<MemberRecord> WholeList() const;
+  std::vector<MemberRecord> FullList() const;
   std::vector<MemberRecord> ListFor(Timestamp now);
   std::vector<MemberRecord> MissingIn(const std::vector<MemberRecord>& list) const;
   DocumentVersion RememberedOf(const NodeId& id) const;
@@ -112,11 +116,11 @@
   ListExchange exchange_;
   DocumentVersion machines_;
   std::optional<RefusedVersion> refused_;
-  // Members that this node alone found suspect or dead while it doubted its own connection.
+  // Members that only this node holds suspect or dead, found while its own connection was in doubt.
   std::set<NodeId> provisional_;
   Timestamp next_forget_{};
   Timestamp next_correction_{};
-  bool heard_fleet_ = false;
+  bool fleet_answered_ = false;
 };
 
 }  // namespace copperlead
--- a/src/membership/prober.cc
+++ b/src/membership/prober.cc
@@ -17,7 +17,8 @@
 std::vector<ProbePeer> PickPeers(RandomEngine& random,
                                  const std::vector<const MemberRecord*>& candidates,
                                  std::size_t count, const std::vector<NodeId>& excluded) {
-  // Few of many: draw until enough, with a bound; each draw that hits a taken one is wasted.
+  // Usually few of many candidates are picked, so drawing until enough are found is cheap. The
+  // number of draws is limited because those that hit a taken candidate are wasted.
   constexpr std::size_t kDrawsPerPick = 8;
   std::vector<ProbePeer> picked;
   std::vector<NodeId> taken = excluded;
@@ -41,11 +42,11 @@
 void Prober::Restart(Timestamp now) {
   probe_.reset();
   relays_.clear();
-  failures_in_a_row_ = 0;
+  consecutive_failures_ = 0;
   next_probe_ = now + RandomDuration(random_, settings_.probe_interval);
 }
 
-void Prober::Include(const NodeId& id) {
+void Prober::AddToRound(const NodeId& id) {
   const auto rest = round_.begin() + static_cast<std::ptrdiff_t>(position_);
   if (std::find(rest, round_.end(), id) != round_.end()) return;
   round_.push_back(id);
@@ -58,14 +59,14 @@
   if (now >= next_probe_) {
     if (probe_) {
       step.failed = probe_->target.id;
-      ++failures_in_a_row_;
+      ++consecutive_failures_;
       probe_.reset();
     }
     StartProbe(now, members, step);
     return step;
   }
   const bool indirect_due = probe_ && !probe_->indirect && now >= probe_->indirect_due;
-  if (indirect_due) AskRelays(members, step);
+  if (indirect_due) RequestIndirectProbes(members, step);
   return step;
 }
 
@@ -74,11 +75,11 @@
   return next_probe_;
 }
 
-bool Prober::TakeAnswer(std::uint32_t number, const NodeId& sender) {
+bool Prober::RecordAnswer(std::uint32_t number, const NodeId& sender) {
   if (!probe_ || probe_->number != number) return false;
   if (sender != probe_->target.id && !Contains(probe_->relays, sender)) return false;
   probe_.reset();
-  failures_in_a_row_ = 0;
+  consecutive_failures_ = 0;
   return true;
 }
 
@@ -92,7 +93,7 @@
   return number;
 }
 
-std::optional<RelayedAnswer> Prober::TakeRelayAnswer(std::uint32_t number, const NodeId& sender) {
+std::optional<RelayedAnswer> Prober::TakeRelayedAnswer(std::uint32_t number, const NodeId& sender) {
   const auto found = relays_.find(number);
   if (found == relays_.end() || found->second.target != sender) return std::nullopt;
   auto answer = found->second.answer;
@@ -113,7 +114,7 @@
   probe_ = std::move(probe);
 }
 
-void Prober::AskRelays(const MemberList& members, ProbeStep& step) {
+void Prober::RequestIndirectProbes(const MemberList& members, ProbeStep& step) {
   probe_->indirect = true;
   const std::vector<NodeId> excluded = {members.self().id, probe_->target.id};
   step.relays = PickPeers(random_, members.Eligible(), settings_.indirect_probes, excluded);
--- a/src/membership/prober.h
+++ b/src/membership/prober.h
@@ -1,8 +1,9 @@
-// Failure detection: one probe per interval, round-robin over a shuffled list of the members; after
-// a timeout through other members; unanswered until the next interval means failed.
+// Failure detection. Sends one probe per interval, round-robin over a shuffled list of the members,
+// and after a timeout probes indirectly through other members. A probe that is not answered before
+// the next interval has failed.
 //
-// Decides whom to ask and which probes failed; what follows from a failure is Membership's. Also
-// keeps the probes that this node passes on for others. Not thread-safe.
+// Decides which members to probe and which probes have failed; Membership decides what follows from
+// a failure. Also keeps track of the probes that this node relays for others. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -17,22 +18,22 @@
 
 namespace copperlead {
 
-// Another node to send something to.
+// Id and address of another node.
 struct ProbePeer {
   NodeId id;
   SocketAddress address;
 };
 
-// What is due at one moment.
+// The actions that are due at one time.
 struct ProbeStep {
-  std::optional<NodeId> failed;     // Its probe was not answered in time.
-  std::optional<ProbePeer> target;  // Send it a Ping with `number`.
-  std::vector<ProbePeer> relays;    // Send each a PingRequest about `relay_target`.
+  std::optional<NodeId> failed;     // Member whose probe was not answered in time.
+  std::optional<ProbePeer> target;  // Member to send a Ping with `number` to.
+  std::vector<ProbePeer> relays;    // Members to send a PingRequest about `relay_target` to.
   std::optional<ProbePeer> relay_target;
   std::uint32_t number = 0;
 };
 
-// A positive answer to pass back to the node that asked for the probe.
+// A positive answer to pass back to the node that requested the probe.
 struct RelayedAnswer {
   SocketAddress requester;
   std::uint32_t number = 0;
@@ -42,32 +43,35 @@
  public:
   Prober(const MembershipSettings& settings, RandomEngine& random, Timestamp now);
 
-  // Drops the outstanding probe without a verdict and starts over: at start and after a pause.
+  // Discards the outstanding probe without a verdict and starts over. Called at start and after a
+  // pause.
   void Restart(Timestamp now);
-  // Puts a member that was added or revived at a random place in the rest of the round.
-  void Include(const NodeId& id);
+  // Inserts a member that was added or revived at a random position in the rest of the round.
+  void AddToRound(const NodeId& id);
 
-  // Call at or after NextDeadline().
+  // Must be called at or after NextDeadline().
   ProbeStep Advance(Timestamp now, const MemberList& members);
   Timestamp NextDeadline() const;
 
-  // Takes a PingAck.
+  // Records a PingAck.
   // @return true when it answers the outstanding probe.
-  bool TakeAnswer(std::uint32_t number, const NodeId& sender);
+  bool RecordAnswer(std::uint32_t number, const NodeId& sender);
 
   // Registers a probe for another node.
-  // @return the number to Ping the target with; none when too many are under way.
+  // @return the number to ping the target with, or nullopt if too many relayed probes are
+  //         outstanding.
   std::optional<std::uint32_t> StartRelay(Timestamp now, const SocketAddress& requester,
                                           std::uint32_t requester_number, const NodeId& target);
-  // @return whom to tell, when `number` and `sender` answer a probe passed on for another node.
-  std::optional<RelayedAnswer> TakeRelayAnswer(std::uint32_t number, const NodeId& sender);
+  // @return the answer to pass back if `number` and `sender` match a relayed probe.
+  std::optional<RelayedAnswer> TakeRelayedAnswer(std::uint32_t number, const NodeId& sender);
 
-  // A number for a Ping whose answer nobody waits for.
+  // Returns a number for a Ping, also for one whose answer is not awaited.
   std::uint32_t NextNumber() { return next_number_++; }
 
-  // Own probes in a row that nobody answered: high when this node itself is cut off.
-  std::size_t failures_in_a_row() const { return failures_in_a_row_; }
-  void ForgetFailures() { failures_in_a_row_ = 0; }
+  // Number of consecutive unanswered probes of this node; high when this node itself is
+  // disconnected.
+  std::size_t consecutive_failures() const { return consecutive_failures_; }
+  void ResetFailures() { consecutive_failures_ = 0; }
 
  private:
   struct Probe {
@@ -84,23 +88,25 @@
   };
 
   void StartProbe(Timestamp now, const MemberList& members, ProbeStep& step);
-  void AskRelays(const MemberList& members, ProbeStep& step);
-  // @return the next member that is not dead, or null; starts a new round when one ends.
+  void RequestIndirectProbes(const MemberList& members, ProbeStep& step);
+  // Starts a new round when the current one ends.
+  // @return the next member that is not dead, or null.
   const Member* NextTarget(const MemberList& members);
   void ShuffleRound(const MemberList& members);
 
   const MembershipSettings& settings_;
   RandomEngine& random_;
-  std::vector<NodeId> round_;  // Ids in the order of probing.
-  std::size_t position_ = 0;   // Next one in round_.
+  std::vector<NodeId> round_;  // Member ids in the order of probing.
+  std::size_t position_ = 0;   // Index of the next member in round_.
   std::optional<Probe> probe_;
   Timestamp next_probe_{};
   std::uint32_t next_number_ = 0;
-  std::size_t failures_in_a_row_ = 0;
-  std::map<std::uint32_t, Relay> relays_;  // By the number of the Ping sent.
+  std::size_t consecutive_failures_ = 0;
+  std::map<std::uint32_t, Relay> relays_;  // Key: number of the Ping sent to the target.
 };
 
-// @return up to `count` different records of `candidates`, without `excluded`, in random order.
+// Draws at random without repetition; the number of draws is limited, so it may return fewer.
+// @return up to `count` different nodes of `candidates` that are not in `excluded`.
 std::vector<ProbePeer> PickPeers(RandomEngine& random,
                                  const std::vector<const MemberRecord*>& candidates,
                                  std::size_t count, const std::vector<NodeId>& excluded);
--- a/src/membership/suspicion.cc
+++ b/src/membership/suspicion.cc
@@ -5,13 +5,13 @@
 namespace copperlead {
 namespace {
 
-// Hearsay waits this many times the timeout.
-constexpr int kHearsayFactor = 2;
-// A member that keeps refuting gets at most this many times the timeout.
+// Timers started by a received suspicion run for this many timeouts.
+constexpr int kReceivedSuspicionFactor = 2;
+// The timeout of a member that keeps refuting is extended to at most this many timeouts.
 constexpr std::size_t kMaxDampingFactor = 4;
-// Refutations count against later suspicions for this many timeouts after the last one.
-constexpr int kRefutationMemory = 15;
-// Histories kept before old ones are dropped.
+// Refutations extend later timeouts until this many timeouts have passed since the last one.
+constexpr int kRefutationMemoryTimeouts = 15;
+// Number of refutation histories at which outdated ones are removed.
 constexpr std::size_t kMaxHistories = 64;
 
 }  // namespace
@@ -20,7 +20,7 @@
   const auto timeout = TimeoutFor(now, id);
   const auto [found, inserted] = timers_.try_emplace(id);
   Timer& timer = found->second;
-  if (inserted) timer.deadline = now + timeout * (own_probe ? 1 : kHearsayFactor);
+  if (inserted) timer.deadline = now + timeout * (own_probe ? 1 : kReceivedSuspicionFactor);
   if (!own_probe || timer.own_probe) return;
   timer.own_probe = true;
   timer.deadline = std::min(timer.deadline, now + timeout);
@@ -29,21 +29,21 @@
 
 void SuspicionTable::Stop(const NodeId& id) { timers_.erase(id); }
 
-void SuspicionTable::NoteRefutation(Timestamp now, const NodeId& id) {
+void SuspicionTable::RecordRefutation(Timestamp now, const NodeId& id) {
   if (refutations_.size() >= kMaxHistories) {
     std::erase_if(refutations_, [&](const auto& entry) {
-      return now - entry.second.last > timeout_ * kRefutationMemory;
+      return now - entry.second.last > timeout_ * kRefutationMemoryTimeouts;
     });
   }
   auto& history = refutations_[id];
-  if (now - history.last > timeout_ * kRefutationMemory) history.count = 0;
+  if (now - history.last > timeout_ * kRefutationMemoryTimeouts) history.count = 0;
   history.count = std::min(history.count + 1, kMaxDampingFactor - 1);
   history.last = now;
 }
 
 void SuspicionTable::RestartAll(Timestamp now) {
   for (auto& [id, timer] : timers_) {
-    timer = {now + TimeoutFor(now, id) * kHearsayFactor, std::nullopt, false};
+    timer = {now + TimeoutFor(now, id) * kReceivedSuspicionFactor, std::nullopt, false};
   }
 }
 
@@ -78,7 +78,7 @@
 Duration SuspicionTable::TimeoutFor(Timestamp now, const NodeId& id) {
   const auto found = refutations_.find(id);
   if (found == refutations_.end()) return timeout_;
-  if (now - found->second.last > timeout_ * kRefutationMemory) {
+  if (now - found->second.last > timeout_ * kRefutationMemoryTimeouts) {
     refutations_.erase(found);
     return timeout_;
   }
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -1,9 +1,9 @@
-// Timers of members that did not answer a probe: who is to be declared dead, and when.
+// Timers that determine when suspect members are declared dead.
 //
-// The node whose own probe failed reminds the suspect of its suspicion and declares it dead after
-// the timeout; nodes that only heard of the suspicion wait longer, for the case that the first one
-// dies. A member that refuted lately gets more time (damps a path that works now and then).
-// Not thread-safe.
+// The node whose own probe failed reminds the suspect of the suspicion and declares it dead after
+// the timeout. Nodes that only received the suspicion wait longer, in case the first node fails. A
+// member that refuted a suspicion recently gets more time, which avoids flapping when its
+// connection works only intermittently. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -18,22 +18,25 @@
 
 class SuspicionTable {
  public:
-  // @param timeout until the node whose probe failed declares the suspect dead.
+  // @param timeout time after which the node whose probe failed declares the suspect dead.
   explicit SuspicionTable(Duration timeout) : timeout_(timeout) {}
 
-  // Starts a timer unless one runs. A failed probe of this node's own turns a timer that was
-  // started by hearsay into one of its own, which never ends later.
+  // Starts a timer unless one is running. A failed probe of this node (`own_probe`) turns a timer
+  // that was started by a received suspicion into one of its own, whose deadline is never later.
   void Start(Timestamp now, const NodeId& id, bool own_probe);
-  // Ends the timer: the member refuted, left, died or was forgotten.
+  // Removes the timer. Called when the member has refuted, left, died or been forgotten.
   void Stop(const NodeId& id);
-  // Notes that the member refuted a suspicion or its death.
-  void NoteRefutation(Timestamp now, const NodeId& id);
-  // Starts all timers anew, as hearsay: after a pause nothing measured before counts.
+  // Records that the member refuted a suspicion or a report of its death.
+  void RecordRefutation(Timestamp now, const NodeId& id);
+  // Restarts all timers as if their suspicions had been received from other nodes, because after a
+  // pause earlier measurements no longer count.
   void RestartAll(Timestamp now);
 
-  // @return suspects whose time is over; their timers end.
+  // Removes the expired timers.
+  // @return the suspects whose timers have expired.
   std::vector<NodeId> TakeExpired(Timestamp now);
-  // @return suspects that are due to be reminded; each once, half-way through its timeout.
+  // Returns each suspect once, half-way through the timeout.
+  // @return the suspects that are to be reminded now.
   std::vector<NodeId> TakeReminders(Timestamp now);
   std::optional<Timestamp> NextDeadline() const;
 
--- a/tests/membership/contract_test.cc
+++ b/tests/membership/contract_test.cc
@@ -1,4 +1,5 @@
-// One Membership driven by hand: precedence of statements, refutation, seeds, lists, pauses.
+// Tests one Membership with hand-made messages: precedence of statements, refutation, seeds, lists
+// and pauses.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,8 +20,8 @@
   return {id, "zone", {"10.0.0.1", port}, state, incarnation, {revision, 0, revision}};
 }
 
-// All messages that carry statements, each with this one.
-std::vector<MessageBody> BodiesTelling(const MemberRecord& statement) {
+// Returns one message of each type that carries statements, each with this statement.
+std::vector<MessageBody> BodiesWithStatement(const MemberRecord& statement) {
   PingRequest request;
   request.target_id = "c";
   request.target = {"10.0.0.9", 1};
@@ -33,15 +34,15 @@
 
 class ContractTest : public ::testing::Test {
  protected:
-  // Delivers a message of `sender`.
-  std::vector<OutgoingMessage> Hear(const MemberRecord& sender, MessageBody body) {
+  // Delivers a message from `sender`.
+  std::vector<OutgoingMessage> Receive(const MemberRecord& sender, MessageBody body) {
     return node_.Handle(now_, sender.address, Message{{sender, {}, 0}, std::move(body)});
   }
-  void HearGossip(const std::vector<MemberRecord>& updates) {
-    Hear(Record("gossip", kAlive, 1), PingAck{0, updates});
+  void ReceiveGossip(const std::vector<MemberRecord>& updates) {
+    Receive(Record("gossip", kAlive, 1), PingAck{0, updates});
   }
   const MemberRecord& View(const NodeId& id) { return node_.members().at(id).record; }
-  // Runs the node on time for `duration`; nobody answers.
+  // Calls Tick() at each deadline for `duration`. No message is answered.
   std::vector<OutgoingMessage> RunFor(Duration duration) {
     std::vector<OutgoingMessage> sent;
     const auto end = now_ + duration;
@@ -87,13 +88,13 @@
     const NodeId id = "member" + std::to_string(index++);
     const auto held = Record(id, row.held, row.held_incarnation);
     const auto stated = Record(id, row.stated, row.stated_incarnation);
-    HearGossip({held});
-    HearGossip({stated});
+    ReceiveGossip({held});
+    ReceiveGossip({stated});
     EXPECT_EQ(View(id), row.taken ? stated : held) << "row " << index - 1;
   }
 }
 
-TEST_F(ContractTest, ANodeRefutesWhatIsNotSoAboutItself) {
+TEST_F(ContractTest, ANodeRefutesWrongStatementsAboutItself) {
   struct Case {
     std::uint32_t incarnation;
     std::uint32_t expected;
@@ -110,7 +111,7 @@
     auto stated = Record("self", row.stated, row.incarnation);
     if (!row.same_address) stated.address.port = 1;
     const auto sender = Record("b", kAlive, 1);
-    const std::vector<MessageBody> bodies = BodiesTelling(stated);
+    const std::vector<MessageBody> bodies = BodiesWithStatement(stated);
     for (const auto& body : bodies) {
       Membership node({}, Record("self", kAlive, 5), 1, kStart);
       node.Handle(kStart, sender.address, Message{{sender, {}, 0}, body});
@@ -121,17 +122,17 @@
   }
 }
 
-TEST_F(ContractTest, ADoubtedSenderIsToldWhateverItSends) {
+TEST_F(ContractTest, ASuspectOrDeadSenderReceivesItsRecordWhateverItSends) {
   const auto sender = Record("b", kAlive, 3);
   const MessageBody bodies[] = {Ping{1, {}}, PingAck{1, {}}, JoinRequest{}, StatusQuery{}};
-  for (const auto doubt : {kSuspect, kDead}) {
+  for (const auto state : {kSuspect, kDead}) {
     for (const auto& body : bodies) {
       Membership node({}, Record("self", kAlive, 5), 1, kStart);
-      const auto doubted = Record("b", doubt, 3);
+      const auto suspect_or_dead = Record("b", state, 3);
       const auto other = Record("c", kAlive, 1);
-      node.Handle(kStart, other.address, Message{{other, {}, 0}, Ping{1, {doubted}}});
+      node.Handle(kStart, other.address, Message{{other, {}, 0}, Ping{1, {suspect_or_dead}}});
       const auto sent = node.Handle(kStart, sender.address, Message{{sender, {}, 0}, body});
-      bool told = false;
+      bool reported = false;
       for (const auto& message : sent) {
         const auto* ping = std::get_if<Ping>(&message.body);
         const auto* ack = std::get_if<PingAck>(&message.body);
@@ -139,9 +140,9 @@
         const auto& records = ping != nullptr  ? ping->updates
                               : ack != nullptr ? ack->updates
                                                : reply->members;
-        told |= std::find(records.begin(), records.end(), doubted) != records.end();
+        reported |= std::find(records.begin(), records.end(), suspect_or_dead) != records.end();
       }
-      EXPECT_TRUE(told) << "body " << body.index();
+      EXPECT_TRUE(reported) << "body " << body.index();
       auto refuted = sender;
       refuted.incarnation = 4;
       node.Handle(kStart, sender.address, Message{{refuted, {}, 0}, PingAck{1, {}}});
@@ -150,25 +151,26 @@
   }
 }
 
-TEST_F(ContractTest, ConfigurationNeverFallsAndIsRememberedForTheAsker) {
-  Hear(Record("b", kAlive, 1, 9), Ping{});
-  HearGossip({Record("b", kDead, 1, 0)});
+TEST_F(ContractTest, ConfigurationNeverDecreasesAndIsReportedToTheRequester) {
+  Receive(Record("b", kAlive, 1, 9), Ping{});
+  ReceiveGossip({Record("b", kDead, 1, 0)});
   EXPECT_EQ(View("b").configuration.major, 9u);
-  HearGossip({Record("b", kAlive, 0, 11)});  // Outranked, but a lower bound all the same.
+  // This record is outranked, but its configuration is still a lower bound.
+  ReceiveGossip({Record("b", kAlive, 0, 11)});
   EXPECT_EQ(View("b").state, kDead);
-  const auto sent = Hear(Record("b", kAlive, 2, 0), JoinRequest{});
+  const auto sent = Receive(Record("b", kAlive, 2, 0), JoinRequest{});
   EXPECT_EQ(View("b").state, kAlive);
   ASSERT_EQ(sent.size(), 1u);
   EXPECT_EQ(std::get<JoinReply>(sent[0].body).remembered.major, 11u);
 }
 
-TEST_F(ContractTest, SeedsAddTheUnknownAndOverrideNothing) {
+TEST_F(ContractTest, SeedsAddUnknownNodesAndOverrideNothing) {
   const auto direct = Record("b", kAlive, 7, 3);
-  Hear(direct, Ping{});
-  HearGossip({Record("d", kDead, 0)});
-  auto misplaced = Record("b", kAlive, 0);
-  misplaced.address.port = 1;
-  node_.AddSeeds(now_, {misplaced, Record("c", kAlive, 0), Record("d", kAlive, 0),
+  Receive(direct, Ping{});
+  ReceiveGossip({Record("d", kDead, 0)});
+  auto wrong_address = Record("b", kAlive, 0);
+  wrong_address.address.port = 1;
+  node_.AddSeeds(now_, {wrong_address, Record("c", kAlive, 0), Record("d", kAlive, 0),
                         Record("e", kLeaving, 0), Record("self", kAlive, 0)});
   EXPECT_EQ(View("b"), direct);
   EXPECT_EQ(View("c").state, kAlive);
@@ -177,38 +179,38 @@
   std::vector<NodeId> eligible;
   for (const auto& record : node_.Eligible()) eligible.push_back(record.id);
   EXPECT_EQ(eligible, (std::vector<NodeId>{"b", "c", "gossip", "self"}));
-  EXPECT_EQ(node_.LiveCount(), 5u);  // "e" stays a member.
-  const auto heard = Record("c", kAlive, 0);
-  auto moved = heard;
+  EXPECT_EQ(node_.LiveCount(), 5u);  // "e" remains a member.
+  const auto listed = Record("c", kAlive, 0);
+  auto moved = listed;
   moved.zone = "other";
-  Hear(moved, Ping{});  // The node itself knows better than the list, even at incarnation 0.
+  Receive(moved, Ping{});  // The node itself is authoritative over the list, even at incarnation 0.
   EXPECT_EQ(View("c").zone, "other");
 }
 
 TEST_F(ContractTest, AnotherIdAtADeadMembersAddressIsAMemberOfItsOwn) {
-  HearGossip({Record("b", kDead, 3)});
-  auto heir = Record("heir", kAlive, 1);
-  heir.address = View("b").address;
-  Hear(heir, Ping{});
+  ReceiveGossip({Record("b", kDead, 3)});
+  auto successor = Record("heir", kAlive, 1);
+  successor.address = View("b").address;
+  Receive(successor, Ping{});
   EXPECT_EQ(View("heir").state, kAlive);
   EXPECT_EQ(View("b").state, kDead);
   auto moved = Record("heir", kAlive, 2);
-  Hear(moved, Ping{});
+  Receive(moved, Ping{});
   EXPECT_EQ(View("heir").address, moved.address);
 }
 
-TEST_F(ContractTest, AWholeListIsTakenInOneGoAndNotSpread) {
+TEST_F(ContractTest, AFullListIsAppliedAtOnceAndNotGossiped) {
   JoinReply reply;
   for (int index = 0; index < 1000; ++index) {
     reply.members.push_back(Record("member" + std::to_string(index), kAlive, 1));
   }
   node_.Join(now_);
-  Hear(Record("b", kAlive, 1, 4), reply);
+  Receive(Record("b", kAlive, 1, 4), reply);
   EXPECT_EQ(node_.LiveCount(), 1002u);
-  EXPECT_TRUE(node_.HeardFleet());
-  EXPECT_EQ(node_.JoinReplies(), 1u);
+  EXPECT_TRUE(node_.FleetAnswered());
+  EXPECT_EQ(node_.JoinReplyCount(), 1u);
   EXPECT_EQ(node_.HighestHeard().major, 4u);
-  // Verdicts of its own about members that do not answer may spread, the list itself may not.
+  // The node's own verdicts about members that do not answer may be gossiped, the list may not.
   for (const auto& message : RunFor(seconds(2))) {
     const auto* ping = std::get_if<Ping>(&message.body);
     if (ping == nullptr) continue;
@@ -218,36 +220,36 @@
   }
 }
 
-TEST_F(ContractTest, APauseVoidsProbesAndSuspicions) {
-  for (const char* id : {"b", "c", "d"}) Hear(Record(id, kAlive, 1), Ping{});
+TEST_F(ContractTest, APauseDiscardsProbesAndSuspicions) {
+  for (const char* id : {"b", "c", "d"}) Receive(Record(id, kAlive, 1), Ping{});
   RunFor(seconds(3));
   ASSERT_GE(CountInState(kSuspect), 1u);
   for (const bool tick_first : {true, false}) {
     now_ += seconds(60);
     if (tick_first) node_.Tick(now_);
-    Hear(Record("b", kAlive, 1), Ping{});
+    Receive(Record("b", kAlive, 1), Ping{});
     node_.Tick(now_);
     EXPECT_EQ(CountInState(kDead), 0u);
     RunFor(seconds(3));
     EXPECT_EQ(CountInState(kDead), 0u);
   }
   RunFor(seconds(60));
-  EXPECT_EQ(CountInState(kDead), 3u);  // Still finds out when they are gone for good.
+  EXPECT_EQ(CountInState(kDead), 3u);  // Members that stay unreachable are still detected.
 }
 
-TEST_F(ContractTest, ALeavingNodeSaysSoAndHoldsNoRole) {
-  for (const char* id : {"b", "c"}) Hear(Record(id, kAlive, 1), Ping{});
+TEST_F(ContractTest, ALeavingNodeAnnouncesItAndHoldsNoRole) {
+  for (const char* id : {"b", "c"}) Receive(Record(id, kAlive, 1), Ping{});
   EXPECT_EQ(node_.Leave(now_).size(), 2u);
   EXPECT_EQ(node_.self().state, kLeaving);
   EXPECT_EQ(node_.self().incarnation, 6u);
   EXPECT_EQ(node_.Eligible().size(), 2u);
-  HearGossip({Record("self", kDead, 6)});
-  EXPECT_EQ(node_.self().state, kLeaving);  // Refutes its death, not its leaving.
+  ReceiveGossip({Record("self", kDead, 6)});
+  EXPECT_EQ(node_.self().state, kLeaving);  // It refutes its death but not its leaving.
   EXPECT_EQ(node_.self().incarnation, 7u);
   const auto before = node_.EligibilityVersion();
-  Hear(Record("b", kLeaving, 2), Ping{});
+  Receive(Record("b", kLeaving, 2), Ping{});
   EXPECT_NE(node_.EligibilityVersion(), before);
-  EXPECT_EQ(node_.EligibleInZone("zone").size(), 2u);  // "c" and "gossip".
+  EXPECT_EQ(node_.EligibleInZone("zone").size(), 2u);  // These are "c" and "gossip".
 }
 
 }  // namespace
--- a/tests/membership/fleet_test.cc
+++ b/tests/membership/fleet_test.cc
@@ -1,4 +1,5 @@
-// Membership objects on a virtual network: joining, detection, false positives, cuts, pauses.
+// Tests Membership objects on a virtual network: joining, failure detection, false positives,
+// partitions and pauses.
 #include <gtest/gtest.h>
 
 #include "tests/membership/virtual_network.h"
@@ -10,7 +11,7 @@
 
 double ToSeconds(Duration duration) { return static_cast<double>(duration.count()) / 1e6; }
 
-TEST(FleetTest, HerdStartEndsWithOneViewAndTheQuietFleetSendsOnePingPerInterval) {
+TEST(FleetTest, SimultaneousStartConvergesAndTheIdleFleetSendsOnePingPerInterval) {
   VirtualNetwork fleet({}, {});
   fleet.StartFleet(100, 5);
   const auto took =
@@ -51,8 +52,8 @@
                                            DetectionCase{100, seconds(16)},
                                            DetectionCase{1000, seconds(24)}));
 
-TEST(FleetTest, LossDuplicationAndReorderingKillNobody) {
-  VirtualNetwork fleet({}, {.loss = 0.01, .duplication = 0.02, .longest_delay = Milliseconds(50)});
+TEST(FleetTest, LossDuplicationAndReorderingCauseNoFalseDeaths) {
+  VirtualNetwork fleet({}, {.loss = 0.01, .duplication = 0.02, .max_delay = Milliseconds(50)});
   fleet.StartFleet(100, 5);
   fleet.RunFor(seconds(60));
   std::size_t false_deaths = 0;
@@ -63,38 +64,40 @@
   EXPECT_EQ(false_deaths, 0u);
 }
 
-TEST(FleetTest, ZoneCutSeparatesAndHealEndsWithAllAlive) {
+TEST(FleetTest, ZonePartitionSeparatesAndHealingEndsWithAllAlive) {
   VirtualNetwork fleet({}, {});
   fleet.StartFleet(50, 5);
   fleet.RunFor(seconds(30));
-  fleet.SetCut([](std::size_t from, std::size_t to) { return (from % 5 == 0) != (to % 5 == 0); });
-  const auto apart = fleet.RunUntil(
+  fleet.SetPartition(
+      [](std::size_t from, std::size_t to) { return (from % 5 == 0) != (to % 5 == 0); });
+  const auto separated = fleet.RunUntil(
       [&] { return fleet.at(0).LiveCount() == 10 && fleet.at(1).LiveCount() == 40; }, seconds(90));
-  EXPECT_LT(apart, seconds(90));
+  EXPECT_LT(separated, seconds(90));
   fleet.RunFor(seconds(30));
-  fleet.SetCut(nullptr);
+  fleet.SetPartition(nullptr);
   const auto healed =
       fleet.RunUntil([&] { return fleet.AllAlive(50) && fleet.HashesAgree(); }, seconds(90));
   EXPECT_LT(healed, seconds(90));
-  std::printf("cut seen after %.1f s, healed after %.1f s\n", ToSeconds(apart), ToSeconds(healed));
+  std::printf("partition detected after %.1f s, healed after %.1f s\n", ToSeconds(separated),
+              ToSeconds(healed));
 }
 
-TEST(FleetTest, PausedNodeIsDeadAndWakesWithoutKillingOthers) {
+TEST(FleetTest, PausedNodeIsDeadAndResumesWithoutFalseDeaths) {
   VirtualNetwork fleet({}, {});
   fleet.StartFleet(30, 3);
   fleet.RunFor(seconds(30));
   fleet.Pause(7);
   fleet.RunFor(seconds(30));
   EXPECT_EQ(fleet.StateAt(0, 7), MemberState::kDead);
-  fleet.Wake(7);
-  std::size_t held_dead_by_woken = 0;
+  fleet.Resume(7);
+  std::size_t deaths_seen_by_resumed = 0;
   for (int step = 0; step < 200; ++step) {
     fleet.RunFor(Milliseconds(100));
     for (std::size_t subject = 0; subject < 30; ++subject) {
-      if (subject != 7 && fleet.StateAt(7, subject) == MemberState::kDead) ++held_dead_by_woken;
+      if (subject != 7 && fleet.StateAt(7, subject) == MemberState::kDead) ++deaths_seen_by_resumed;
     }
   }
-  EXPECT_EQ(held_dead_by_woken, 0u);
+  EXPECT_EQ(deaths_seen_by_resumed, 0u);
   EXPECT_TRUE(fleet.AllAlive(30));
 }
 
@@ -106,39 +109,40 @@
 
 class OneWayTest : public ::testing::TestWithParam<OneWayCase> {};
 
-// A node cut in one direction is dead for the others, and neither kills nor flaps them.
-TEST_P(OneWayTest, FleetStaysQuietAndRecovers) {
-  constexpr std::size_t kCut = 7;
+// A node whose messages are dropped in one or both directions is declared dead by the others. It
+// must not cause false deaths or repeated refutations of other nodes.
+TEST_P(OneWayTest, CausesNoFalseDeathsAndTheFleetRecovers) {
+  constexpr std::size_t kIsolated = 7;
   constexpr std::size_t kNodes = 50;
   VirtualNetwork fleet({}, {});
   fleet.StartFleet(kNodes, 5);
   fleet.RunFor(seconds(40));
-  const auto incarnations = fleet.IncarnationSum() - fleet.at(kCut).self().incarnation;
-  fleet.SetCut([](std::size_t from, std::size_t to) {
-    if (from == kCut) return !GetParam().can_send;
-    return to == kCut && !GetParam().can_receive;
+  const auto incarnations = fleet.IncarnationSum() - fleet.at(kIsolated).self().incarnation;
+  fleet.SetPartition([](std::size_t from, std::size_t to) {
+    if (from == kIsolated) return !GetParam().can_send;
+    return to == kIsolated && !GetParam().can_receive;
   });
-  const auto noticed = fleet.RunUntil([&] { return fleet.DeadEverywhere(kCut); }, seconds(60));
+  const auto noticed = fleet.RunUntil([&] { return fleet.DeadEverywhere(kIsolated); }, seconds(60));
   EXPECT_LT(noticed, seconds(60));
   std::size_t false_deaths = 0;
   std::size_t revivals = 0;
   for (int second = 0; second < 300; ++second) {
     fleet.RunFor(seconds(1));
-    false_deaths += fleet.FalseDeaths(kCut);
-    if (!fleet.DeadEverywhere(kCut)) ++revivals;
+    false_deaths += fleet.FalseDeaths(kIsolated);
+    if (!fleet.DeadEverywhere(kIsolated)) ++revivals;
   }
   const auto refutations =
-      fleet.IncarnationSum() - fleet.at(kCut).self().incarnation - incarnations;
+      fleet.IncarnationSum() - fleet.at(kIsolated).self().incarnation - incarnations;
   std::printf("%s: dead everywhere after %.1f s; refutations of others %u, false deaths %zu\n",
               GetParam().name, ToSeconds(noticed), refutations, false_deaths);
   EXPECT_EQ(false_deaths, 0u);
   EXPECT_EQ(revivals, 0u);
   EXPECT_LE(refutations, 8u);
-  fleet.SetCut(nullptr);
+  fleet.SetPartition(nullptr);
   EXPECT_LT(
       fleet.RunUntil([&] { return fleet.AllAlive(kNodes) && fleet.HashesAgree(); }, seconds(90)),
       seconds(90));
-  const auto after = fleet.IncarnationSum() - fleet.at(kCut).self().incarnation - incarnations;
+  const auto after = fleet.IncarnationSum() - fleet.at(kIsolated).self().incarnation - incarnations;
   EXPECT_LE(after, 8u);
 }
 
@@ -147,7 +151,7 @@
                                            OneWayCase{"receives only", false, true},
                                            OneWayCase{"cut off", false, false}));
 
-TEST(FleetTest, HerdRestartKeepsFloorsThatSurvivorsRemember) {
+TEST(FleetTest, SimultaneousRestartKeepsVersionsThatSurvivorsRemember) {
   VirtualNetwork fleet({}, {.loss = 0.01});
   fleet.StartFleet(60, 5);
   for (std::size_t index = 0; index < 60; ++index) {
@@ -159,7 +163,7 @@
   for (std::size_t index = 0; index < 60; index += 2) fleet.Start(index, 2);
   fleet.RunFor(seconds(10));
   for (std::size_t index = 0; index < 60; index += 2) {
-    EXPECT_TRUE(fleet.at(index).HeardFleet()) << index;
+    EXPECT_TRUE(fleet.at(index).FleetAnswered()) << index;
     EXPECT_EQ(fleet.at(index).HighestHeard().major, 9u) << index;
   }
   EXPECT_LT(fleet.RunUntil([&] { return fleet.AllAlive(60) && fleet.HashesAgree(); }, seconds(90)),
--- a/tests/membership/virtual_network.cc
+++ b/tests/membership/virtual_network.cc
@@ -7,12 +7,12 @@
 namespace copperlead {
 namespace {
 
-// Rough sizes on the wire, for figures.
+// Approximate encoded sizes, used to count the bytes sent.
 constexpr std::size_t kHeaderBytes = 60;
 constexpr std::size_t kSummaryBytes = 90;
 constexpr std::size_t kRecordBytes = 45;
 
-struct RecordsOf {
+struct RecordsIn {
   const std::vector<MemberRecord>* operator()(const Ping& body) const { return &body.updates; }
   const std::vector<MemberRecord>* operator()(const PingAck& body) const { return &body.updates; }
   const std::vector<MemberRecord>* operator()(const PingRequest& body) const {
@@ -67,9 +67,9 @@
 void VirtualNetwork::Start(std::size_t index, std::uint32_t incarnation) {
   auto& node = nodes_[index];
   node.identity.incarnation = incarnation;
-  ++node.life;
+  ++node.timer_generation;
   node.paused = false;
-  node.waiting.clear();
+  node.queued_messages.clear();
   node.membership = std::make_unique<Membership>(settings_, node.identity, random_(), now_);
   node.membership->AddContacts(node.contacts);
   Send(index, node.membership->Join(now_));
@@ -78,19 +78,19 @@
 
 void VirtualNetwork::Crash(std::size_t index) {
   nodes_[index].membership.reset();
-  ++nodes_[index].life;
+  ++nodes_[index].timer_generation;
 }
 
 void VirtualNetwork::Pause(std::size_t index) { nodes_[index].paused = true; }
 
-void VirtualNetwork::Wake(std::size_t index) {
+void VirtualNetwork::Resume(std::size_t index) {
   auto& node = nodes_[index];
   node.paused = false;
-  for (const auto& [from, message] : std::exchange(node.waiting, {})) {
+  for (const auto& [from, message] : std::exchange(node.queued_messages, {})) {
     Send(index, node.membership->Handle(now_, from, *message));
   }
   Send(index, node.membership->Join(now_));
-  ++node.life;
+  ++node.timer_generation;
   ScheduleTimer(index);
 }
 
@@ -104,12 +104,12 @@
     message->body = outgoing.body;
     ++messages_sent_;
     bytes_sent_ += kHeaderBytes + kSummaryBytes;
-    if (const auto* records = std::visit(RecordsOf{}, message->body)) {
+    if (const auto* records = std::visit(RecordsIn{}, message->body)) {
       bytes_sent_ += kRecordBytes * records->size();
     }
     const auto to = by_address_.find(outgoing.to);
     if (to == by_address_.end()) continue;
-    if (cut_ && cut_(from, to->second)) continue;
+    if (is_partitioned_ && is_partitioned_(from, to->second)) continue;
     if (Chance() < network_.loss) continue;
     Deliver(from, to->second, message);
     if (Chance() < network_.duplication) Deliver(from, to->second, message);
@@ -118,15 +118,15 @@
 
 void VirtualNetwork::Deliver(std::size_t from, std::size_t to,
                              const std::shared_ptr<const Message>& message) {
-  const auto spread = network_.longest_delay - network_.shortest_delay;
-  const auto when = now_ + network_.shortest_delay + RandomDuration(random_, spread);
+  const auto spread = network_.max_delay - network_.min_delay;
+  const auto when = now_ + network_.min_delay + RandomDuration(random_, spread);
   events_.push({when, sequence_++, to, 0, nodes_[from].identity.address, message});
 }
 
 void VirtualNetwork::ScheduleTimer(std::size_t index) {
   const auto& node = nodes_[index];
   const auto when = std::max(now_, node.membership->NextDeadline());
-  events_.push({when, sequence_++, index, node.life, {}, nullptr});
+  events_.push({when, sequence_++, index, node.timer_generation, {}, nullptr});
 }
 
 void VirtualNetwork::Process(const Event& event) {
@@ -134,18 +134,18 @@
   if (!node.membership) return;
   if (event.message) {
     if (node.paused) {
-      node.waiting.emplace_back(event.from, event.message);
+      node.queued_messages.emplace_back(event.from, event.message);
       return;
     }
     const auto before = node.membership->NextDeadline();
     Send(event.node, node.membership->Handle(now_, event.from, *event.message));
     if (node.membership->NextDeadline() < before) {
-      ++node.life;
+      ++node.timer_generation;
       ScheduleTimer(event.node);
     }
     return;
   }
-  if (event.life != node.life || node.paused) return;
+  if (event.timer_generation != node.timer_generation || node.paused) return;
   if (node.membership->NextDeadline() <= now_) Send(event.node, node.membership->Tick(now_));
   ScheduleTimer(event.node);
 }
