--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -82,11 +82,11 @@
   NodeSummary Summary() const;
 
   const MemberRecord& self() const;
-  // All members but this node, by id; includes suspect, leaving and dead ones.
+  // All members except this node by id, including suspect, leaving and dead ones.
   const std::map<NodeId, Member>& members() const;
-  // Members that may hold a role or a place in a tree (alive or suspect), this node included.
-  // Sorted by id. Each call copies the records: callers that ask often keep what they made of them
-  // until EligibilityVersion() changes.
+  // Members that may hold a role or a place in a push tree (alive or suspect), including this node
+  // if it is eligible, sorted by id. Each call copies the records, so frequent callers should cache
+  // what they derive from them until EligibilityVersion() changes.
   std::vector<MemberRecord> Eligible() const;
   std::vector<MemberRecord> EligibleInZone(const ZoneName& zone) const;
   // Increases when a member becomes or ceases to be eligible, and when the zone or address of an
