--- a/src/transport/compact_archive.h
+++ b/src/transport/compact_archive.h
@@ -1,9 +1,11 @@
-// A cereal archive for frames between nodes: numbers as variable-length integers, strings with a
-// one-byte length where short, no alignment and no names. Reads from and writes to memory only.
+// A cereal archive for the messages exchanged between nodes. Numbers and string lengths are encoded
+// as variable-length integers; the encoding has no alignment and no field names. The archives read
+// from and write to memory only.
 //
-// The input side trusts nothing: every length and count is checked against the bytes that are
-// left before anything is allocated. Failures are thrown as cereal::Exception, as cereal's own
-// archives do; message_codec.cc turns them into kBadFrame. Internal to the transport module.
+// The input archive treats its input as untrusted: it checks every length and count against the
+// remaining bytes before it allocates anything. Failures are thrown as cereal::Exception, as by
+// cereal's own archives; message_codec.cc converts them to kBadFrame. This header is internal to
+// the transport module.
 #pragma once
 
 #include <cereal/cereal.hpp>
@@ -16,8 +18,8 @@
 
 namespace copperlead {
 
-// The record before the current one in the same message: members of one zone running one
-// configuration are the common case, and say so in one bit each.
+// Zone and configuration of the previous record in the same message. Consecutive members usually
+// share both, which is then encoded as one flag bit each instead of the full value.
 struct RecordContext {
   ZoneName zone;
   DocumentVersion configuration;
@@ -60,14 +62,14 @@
 class CompactInputArchive
     : public cereal::InputArchive<CompactInputArchive, cereal::AllowEmptyClassElision> {
  public:
-  // @param bytes must outlive the archive.
+  // @param bytes the input, which must outlive the archive.
   explicit CompactInputArchive(std::string_view bytes) : InputArchive(this), rest_(bytes) {}
 
   std::uint8_t ReadByte() { return static_cast<std::uint8_t>(ReadBytes(1).front()); }
 
-  // @return a view of the next `size` bytes of the input.
+  // @return a view of the next `size` bytes of the input, which are consumed.
   std::string_view ReadBytes(std::size_t size) {
-    if (size > rest_.size()) throw cereal::Exception("ends early");
+    if (size > rest_.size()) throw cereal::Exception("input truncated");
     const std::string_view bytes = rest_.substr(0, size);
     rest_.remove_prefix(size);
     return bytes;
@@ -95,11 +97,14 @@
     return value;
   }
 
-  // Reads the count of a list whose elements take at least `least_element_bytes` each.
-  std::size_t ReadCount(std::size_t least_element_bytes, std::size_t limit) {
+  // Reads the element count of a list.
+  // @param min_element_bytes the smallest encoded size of one element, used to reject counts that
+  //        the remaining input cannot hold.
+  // @param limit the largest count that is accepted.
+  std::size_t ReadCount(std::size_t min_element_bytes, std::size_t limit) {
     const std::uint64_t count = ReadNumber();
     if (count > limit) throw cereal::Exception("list too long");
-    if (count > rest_.size() / least_element_bytes) throw cereal::Exception("list ends early");
+    if (count > rest_.size() / min_element_bytes) throw cereal::Exception("list truncated");
     return static_cast<std::size_t>(count);
   }
 
@@ -123,7 +128,7 @@
 
 namespace copperlead {
 
-// --- cereal's functions for plain values ---
+// --- Functions by which cereal saves and loads unsigned integers ---
 
 template <class T>
 requires std::is_unsigned_v<T>
--- a/src/transport/fleet_keys.cc
+++ b/src/transport/fleet_keys.cc
@@ -1,4 +1,4 @@
-// LoadFleetKeys of frame.h. No error names any part of a key.
+// Implements LoadFleetKeys of frame.h. Error messages never contain any part of a key.
 #include <openssl/evp.h>
 
 #include <algorithm>
@@ -12,11 +12,12 @@
 namespace {
 
 constexpr std::size_t kMaxKeys = 2;
-constexpr std::size_t kEncodedKeyBytes = 44;  // Base64 of kKeyBytes, one '=' at the end.
+// Length of kKeyBytes in base64, including one '=' of padding.
+constexpr std::size_t kEncodedKeyBytes = 44;
 constexpr std::string_view kBase64Alphabet =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
-// @return the 32 bytes; empty when the text is not their base64.
+// @return the key of kKeyBytes; empty when the text is not a base64 key of that length.
 std::string DecodeKey(const std::string& text) {
   if (text.size() != kEncodedKeyBytes || text.back() != '=') return {};
   if (text.find_first_not_of(kBase64Alphabet) != kEncodedKeyBytes - 1) return {};
@@ -29,7 +30,7 @@
   return key;
 }
 
-std::string WithoutLineEnd(std::string line) {
+std::string TrimTrailingWhitespace(std::string line) {
   const auto end = line.find_last_not_of(" \t\r");
   line.erase(end == std::string::npos ? 0 : end + 1);
   return line;
@@ -43,7 +44,7 @@
   FleetKeys keys;
   std::string line;
   for (int number = 1; std::getline(file, line); ++number) {
-    const std::string text = WithoutLineEnd(line);
+    const std::string text = TrimTrailingWhitespace(line);
     if (text.empty()) continue;
     const std::string place = path + ":" + std::to_string(number);
     if (keys.keys.size() == kMaxKeys) {
@@ -51,13 +52,13 @@
     }
     std::string key = DecodeKey(text);
     if (key.empty()) {
-      return Fail(ErrorKind::kBadSetting, place, "not a key; allowed: 32 bytes in base64");
+      return Fail(ErrorKind::kBadSetting, place, "not a valid key; allowed: 32 bytes in base64");
     }
     keys.keys.push_back(std::move(key));
   }
   if (file.bad()) return Fail(ErrorKind::kUnreadableFile, path, "cannot be read");
   if (keys.keys.empty()) {
-    return Fail(ErrorKind::kBadSetting, path, "holds no key; allowed: one or two, a line each");
+    return Fail(ErrorKind::kBadSetting, path, "contains no key; allowed: one or two, one per line");
   }
   return keys;
 }
--- a/src/transport/frame.cc
+++ b/src/transport/frame.cc
@@ -7,14 +7,15 @@
 namespace copperlead {
 namespace {
 
-// Header: magic (2 bytes), protocol version, key id, length of what follows (4, little-endian).
+// The header holds the magic (2 bytes), the protocol version (1 byte), the key id (1 byte) and the
+// number of bytes that follow it (4 bytes, little-endian).
 constexpr char kMagic[] = {'C', 'L'};
 constexpr std::uint8_t kProtocolVersion = 1;
 constexpr std::size_t kVersionOffset = 2;
 constexpr std::size_t kKeyIdOffset = 3;
 constexpr std::size_t kLengthOffset = 4;
 constexpr std::size_t kHeaderBytes = 8;
-constexpr std::size_t kLeastBodyBytes = kNonceBytes + kTagBytes;
+constexpr std::size_t kMinBodyBytes = kNonceBytes + kTagBytes;
 
 std::uint8_t ByteAt(std::string_view bytes, std::size_t offset) {
   return static_cast<std::uint8_t>(bytes[offset]);
@@ -40,20 +41,20 @@
 
 }  // namespace
 
-std::size_t SealOverhead() { return kHeaderBytes + kLeastBodyBytes; }
+std::size_t SealOverhead() { return kHeaderBytes + kMinBodyBytes; }
 
 std::size_t FrameHeaderBytes() { return kHeaderBytes; }
 
 std::string SealFrame(const FleetKeys& keys, const std::string& encoded) {
   if (keys.keys.empty()) return {};
   const std::string& key = keys.keys.front();
-  std::string frame = MakeHeader(KeyIdOf(key), encoded.size() + kLeastBodyBytes);
+  std::string frame = MakeHeader(KeyIdOf(key), encoded.size() + kMinBodyBytes);
   if (!AppendSealed(key, encoded, frame)) return {};
   return frame;
 }
 
 Result<std::size_t> FrameSize(std::string_view header) {
-  if (header.size() < kHeaderBytes) return Fail(ErrorKind::kBadFrame, "header", "ends early");
+  if (header.size() < kHeaderBytes) return Fail(ErrorKind::kBadFrame, "header", "truncated");
   if (header.substr(0, sizeof(kMagic)) != std::string_view(kMagic, sizeof(kMagic))) {
     return Fail(ErrorKind::kBadFrame, "header", "wrong magic");
   }
@@ -61,7 +62,8 @@
     return Fail(ErrorKind::kBadFrame, "header", "unknown protocol version");
   }
   const std::size_t length = ReadLength(header);
-  if (length < kLeastBodyBytes) return Fail(ErrorKind::kBadFrame, "header", "length too small");
+  if (length < kMinBodyBytes)
+    return Fail(ErrorKind::kBadFrame, "header", "body length is below the minimum");
   if (length > kMaxFrameBytes - kHeaderBytes) {
     return Fail(ErrorKind::kFrameTooLarge, "header", std::to_string(length) + " bytes");
   }
@@ -71,14 +73,14 @@
 Result<std::string> OpenFrame(const FleetKeys& keys, std::string_view frame) {
   BOOST_LEAF_AUTO(size, FrameSize(frame));
   if (size != frame.size())
-    return Fail(ErrorKind::kBadFrame, "frame", "length is not the header's");
+    return Fail(ErrorKind::kBadFrame, "frame", "size differs from the length in the header");
   const std::string_view header = frame.substr(0, kHeaderBytes);
   for (const std::string& key : keys.keys) {
     if (KeyIdOf(key) != ByteAt(header, kKeyIdOffset)) continue;
     std::optional<std::string> plain = Unseal(key, header, frame.substr(kHeaderBytes));
     if (plain) return std::move(*plain);
   }
-  return Fail(ErrorKind::kUnsealFailed, "frame", "wrong key or altered");
+  return Fail(ErrorKind::kUnsealFailed, "frame", "unknown key or altered frame");
 }
 
 }  // namespace copperlead
--- a/src/transport/message_codec.cc
+++ b/src/transport/message_codec.cc
@@ -1,4 +1,5 @@
-// EncodeMessage and DecodeMessage of frame.h: the fields of each message, by cereal.
+// Implements EncodeMessage and DecodeMessage of frame.h with cereal functions for each message
+// type.
 #include <arpa/inet.h>
 
 #include <algorithm>
@@ -11,17 +12,20 @@
 namespace copperlead {
 namespace {
 
-// Bounds on what one message may name; the members of the largest fleet fit several times over.
-constexpr std::size_t kMaxNodeNameBytes = 255;  // Node ids and zone names.
+// Limits on the contents of one message. The record limit is several times the number of members of
+// the largest fleet.
+constexpr std::size_t kMaxNodeNameBytes = 255;  // Applies to node ids and zone names.
 constexpr std::size_t kMaxAddressTextBytes = 64;
 constexpr std::size_t kMaxRecordsPerMessage = 65'536;
-// Flags, id (at least its length), address (at least a length), port, incarnation.
-constexpr std::size_t kLeastRecordBytes = 6;
+// Smallest encoding of a member record: flags (1 byte), length of the id (1), length of the address
+// (1), port (2) and incarnation (1).
+constexpr std::size_t kMinRecordBytes = 6;
 
-// The first byte of a member record.
+// Bits of the first byte of a member record.
 constexpr std::uint8_t kStateMask = 0x03;
-constexpr std::uint8_t kSameZone = 0x04;           // As the record before in this message.
-constexpr std::uint8_t kSameConfiguration = 0x08;  // As the record before in this message.
+// kSameZone and kSameConfiguration: the field equals that of the previous record in the message.
+constexpr std::uint8_t kSameZone = 0x04;
+constexpr std::uint8_t kSameConfiguration = 0x08;
 constexpr int kAddressFormShift = 4;
 constexpr std::uint8_t kKnownFlags = 0x3f;
 
@@ -32,24 +36,25 @@
   std::array<unsigned char, sizeof(in6_addr)> bytes{};
 };
 
-std::size_t BytesOf(AddressForm form) {
+std::size_t BinarySize(AddressForm form) {
   return form == AddressForm::kIpv4 ? sizeof(in_addr) : sizeof(in6_addr);
 }
 
-int FamilyOf(AddressForm form) { return form == AddressForm::kIpv4 ? AF_INET : AF_INET6; }
+int AddressFamily(AddressForm form) { return form == AddressForm::kIpv4 ? AF_INET : AF_INET6; }
 
-std::string TextOf(AddressForm form, const void* bytes) {
+std::string FormatIp(AddressForm form, const void* bytes) {
   std::array<char, INET6_ADDRSTRLEN> text{};
-  inet_ntop(FamilyOf(form), bytes, text.data(), text.size());
+  inet_ntop(AddressFamily(form), bytes, text.data(), text.size());
   return text.data();
 }
 
-// Binary when that gives the same text back, else text: decoding must restore what was encoded.
+// Uses the binary form only if it converts back to the same text, because decoding must restore the
+// encoded text exactly.
 EncodedIp EncodeIp(const std::string& ip) {
   EncodedIp encoded;
   for (const AddressForm form : {AddressForm::kIpv4, AddressForm::kIpv6}) {
-    if (inet_pton(FamilyOf(form), ip.c_str(), encoded.bytes.data()) != 1) continue;
-    if (TextOf(form, encoded.bytes.data()) != ip) continue;
+    if (inet_pton(AddressFamily(form), ip.c_str(), encoded.bytes.data()) != 1) continue;
+    if (FormatIp(form, encoded.bytes.data()) != ip) continue;
     encoded.form = form;
     return encoded;
   }
@@ -58,7 +63,7 @@
 
 void WriteIp(CompactOutputArchive& archive, const EncodedIp& encoded, const std::string& ip) {
   if (encoded.form != AddressForm::kText) {
-    archive.WriteBytes(encoded.bytes.data(), BytesOf(encoded.form));
+    archive.WriteBytes(encoded.bytes.data(), BinarySize(encoded.form));
     return;
   }
   archive.WriteNumber(ip.size());
@@ -67,7 +72,7 @@
 
 std::string ReadIp(CompactInputArchive& archive, AddressForm form) {
   if (form == AddressForm::kText) return archive.ReadString(kMaxAddressTextBytes);
-  return TextOf(form, archive.ReadBytes(BytesOf(form)).data());
+  return FormatIp(form, archive.ReadBytes(BinarySize(form)).data());
 }
 
 AddressForm CheckedAddressForm(std::uint8_t number) {
@@ -96,7 +101,7 @@
 
 }  // namespace
 
-// --- cereal's functions for the parts of messages; found by argument-dependent lookup ---
+// --- Functions by which cereal saves and loads messages; found by argument-dependent lookup ---
 
 static void save(CompactOutputArchive& archive, const DocumentVersion& version) {
   archive.WriteByte(version.none() ? 0 : 1);
@@ -107,7 +112,7 @@
 
 static void load(CompactInputArchive& archive, DocumentVersion& version) {
   const std::uint8_t presence = archive.ReadByte();
-  if (presence > 1) throw cereal::Exception("bad version");
+  if (presence > 1) throw cereal::Exception("invalid version presence flag");
   if (presence == 0) {
     version = {};
     return;
@@ -129,12 +134,12 @@
 }
 
 static void save(CompactOutputArchive& archive, const MemberRecord& record) {
-  RecordContext& before = archive.record_context();
+  RecordContext& previous = archive.record_context();
   const EncodedIp encoded = EncodeIp(record.address.ip);
   std::uint8_t flags = static_cast<std::uint8_t>(record.state) & kStateMask;
   flags |= static_cast<std::uint8_t>(static_cast<int>(encoded.form) << kAddressFormShift);
-  if (record.zone == before.zone) flags |= kSameZone;
-  if (record.configuration == before.configuration) flags |= kSameConfiguration;
+  if (record.zone == previous.zone) flags |= kSameZone;
+  if (record.configuration == previous.configuration) flags |= kSameConfiguration;
   archive.WriteByte(flags);
   WriteName(archive, record.id);
   if ((flags & kSameZone) == 0) WriteName(archive, record.zone);
@@ -142,23 +147,23 @@
   archive.WriteFixed(record.address.port, 2);
   archive(record.incarnation);
   if ((flags & kSameConfiguration) == 0) archive(record.configuration);
-  before.zone = record.zone;
-  before.configuration = record.configuration;
+  previous.zone = record.zone;
+  previous.configuration = record.configuration;
 }
 
 static void load(CompactInputArchive& archive, MemberRecord& record) {
-  RecordContext& before = archive.record_context();
+  RecordContext& previous = archive.record_context();
   const std::uint8_t flags = archive.ReadByte();
   if ((flags & ~kKnownFlags) != 0) throw cereal::Exception("unknown record flags");
   record.state = static_cast<MemberState>(flags & kStateMask);
   record.id = ReadName(archive);
-  if ((flags & kSameZone) == 0) before.zone = ReadName(archive);
-  record.zone = before.zone;
+  if ((flags & kSameZone) == 0) previous.zone = ReadName(archive);
+  record.zone = previous.zone;
   record.address.ip = ReadIp(archive, CheckedAddressForm(flags >> kAddressFormShift));
   record.address.port = static_cast<std::uint16_t>(archive.ReadFixed(2));
   archive(record.incarnation);
-  if ((flags & kSameConfiguration) == 0) archive(before.configuration);
-  record.configuration = before.configuration;
+  if ((flags & kSameConfiguration) == 0) archive(previous.configuration);
+  record.configuration = previous.configuration;
 }
 
 static void save(CompactOutputArchive& archive, const std::vector<MemberRecord>& records) {
@@ -167,7 +172,7 @@
 }
 
 static void load(CompactInputArchive& archive, std::vector<MemberRecord>& records) {
-  records.resize(archive.ReadCount(kLeastRecordBytes, kMaxRecordsPerMessage));
+  records.resize(archive.ReadCount(kMinRecordBytes, kMaxRecordsPerMessage));
   for (MemberRecord& record : records) archive(record);
 }
 
@@ -188,7 +193,7 @@
   archive(summary.record, summary.machines);
   summary.membership_hash = archive.ReadFixed(8);
   const std::uint8_t presence = archive.ReadByte();
-  if (presence > 1) throw cereal::Exception("bad refusal");
+  if (presence > 1) throw cereal::Exception("invalid refused-version presence flag");
   if (presence == 0) return;
   RefusedVersion& refused = summary.refused.emplace();
   archive(refused.version);
@@ -249,7 +254,7 @@
   archive(push.transfer);
   push.root = ReadName(archive);
   push.source_tag = archive.ReadString(kMaxSourceTagBytes);
-  if (!MayHandOnEtag(push.source_tag)) throw cereal::Exception("bad ETag");
+  if (!MayHandOnEtag(push.source_tag)) throw cereal::Exception("invalid ETag");
 }
 
 static void save(CompactOutputArchive& archive, const PushAck& ack) {
@@ -282,8 +287,9 @@
   archive(busy.retry_after_ms);
 }
 
-// Not overloads of save and load: every alternative converts to MessageBody, which would make them
-// ambiguous. A body is its place in the list of MessageBody, then its fields.
+// SaveBody and LoadBody are not overloads of save and load because every alternative converts to
+// MessageBody, which would make the calls ambiguous. A body is encoded as the index of its
+// alternative in MessageBody, followed by its fields.
 static void SaveBody(CompactOutputArchive& archive, const MessageBody& body) {
   archive.WriteByte(static_cast<std::uint8_t>(body.index()));
   std::visit([&](const auto& content) { archive(content); }, body);
@@ -321,7 +327,7 @@
     CompactInputArchive archive(bytes);
     Message message;
     archive(message);
-    if (archive.remaining() != 0) throw cereal::Exception("bytes after the message");
+    if (archive.remaining() != 0) throw cereal::Exception("trailing bytes after the message");
     return message;
   } catch (const cereal::Exception& exception) {
     return Fail(ErrorKind::kBadFrame, "message", exception.what());
--- a/src/transport/seal.cc
+++ b/src/transport/seal.cc
@@ -13,7 +13,8 @@
   void operator()(EVP_CIPHER_CTX* context) const { EVP_CIPHER_CTX_free(context); }
 };
 
-// One context per thread, made once: making it costs more than sealing a short frame.
+// Returns a context that is created once per thread, because creating one costs more than sealing a
+// short frame.
 EVP_CIPHER_CTX* ThreadContext() {
   thread_local const std::unique_ptr<EVP_CIPHER_CTX, ContextDeleter> context(EVP_CIPHER_CTX_new());
   if (context) EVP_CIPHER_CTX_reset(context.get());
@@ -64,7 +65,7 @@
   std::string tag(sealed.substr(sealed.size() - kTagBytes));
   std::string plain(cipher.size(), '\0');
   int length = 0;
-  const bool genuine =
+  const bool authentic =
       EVP_DecryptInit_ex(context, EVP_aes_256_gcm(), nullptr, Bytes(key), Bytes(nonce)) == 1 &&
       EVP_DecryptUpdate(context, nullptr, &length, Bytes(header),
                         static_cast<int>(header.size())) == 1 &&
@@ -72,7 +73,7 @@
                         static_cast<int>(cipher.size())) == 1 &&
       EVP_CIPHER_CTX_ctrl(context, EVP_CTRL_GCM_SET_TAG, kTagBytes, tag.data()) == 1 &&
       EVP_DecryptFinal_ex(context, Bytes(plain.data()) + plain.size(), &length) == 1;
-  if (!genuine) return std::nullopt;
+  if (!authentic) return std::nullopt;
   return plain;
 }
 
--- a/src/transport/seal.h
+++ b/src/transport/seal.h
@@ -1,7 +1,8 @@
-// AES-256-GCM by OpenSSL. Internal to the transport module.
+// Authenticated encryption with AES-256-GCM, implemented with OpenSSL. This header is internal to
+// the transport module.
 //
-// Nonces are 96 random bits: keep a key below 2^32 frames over the whole fleet (NIST SP 800-38D),
-// which the rotation of keys has to see to.
+// Nonces are 96 random bits, so a key must seal fewer than 2^32 frames over the whole fleet
+// (NIST SP 800-38D). Key rotation has to ensure this.
 #pragma once
 
 #include <cstddef>
@@ -16,17 +17,19 @@
 inline constexpr std::size_t kNonceBytes = 12;
 inline constexpr std::size_t kTagBytes = 16;
 
-// @return a number that tells the fleet's two keys apart without saying anything of use about
-//         them: the first byte of the key's SHA-256.
+// @return the first byte of the key's SHA-256 hash. It helps to select the matching key of a fleet
+//         and reveals nothing useful about it.
 std::uint8_t KeyIdOf(const std::string& key);
 
-// Appends nonce, ciphertext and tag of `plain` to `frame`, with what `frame` held before as
-// additional authenticated data. Any thread.
-// @return false when the library fails or has no randomness; `frame` is then of no use.
+// Encrypts `plain` and appends nonce, ciphertext and tag to `frame`. The initial content of `frame`
+// is the additional authenticated data. May be called on any thread.
+// @return false when OpenSSL fails or has no random bytes; the content of `frame` is then invalid.
 bool AppendSealed(const std::string& key, std::string_view plain, std::string& frame);
 
+// Decrypts and authenticates bytes written by AppendSealed().
+// @param header the additional authenticated data.
 // @param sealed nonce, ciphertext and tag; at least kNonceBytes + kTagBytes long.
-// @return the plain bytes; nothing when key, header or bytes are not those that were sealed.
+// @return the plaintext; nullopt when key, header or sealed bytes differ from those used to seal.
 std::optional<std::string> Unseal(const std::string& key, std::string_view header,
                                   std::string_view sealed);
 
--- a/tests/transport/allocation_counter.h
+++ b/tests/transport/allocation_counter.h
@@ -1,11 +1,12 @@
-// Counts what operator new gives out, for tests of bounded allocation.
+// Counts the bytes allocated by operator new, for tests of allocation limits.
 #pragma once
 
 #include <cstddef>
 
 namespace copperlead {
 
-// Bytes asked of operator new by the calling thread since it last set this to 0.
+// @return a counter of the bytes that the calling thread has requested from operator new. Tests set
+//         it to 0 before they run the code under test.
 std::size_t& AllocatedBytes();
 
 }  // namespace copperlead
--- a/tests/transport/frame_test.cc
+++ b/tests/transport/frame_test.cc
@@ -63,7 +63,7 @@
   }
 }
 
-TEST(FrameTest, EveryMessageComesBackAsItWas) {
+TEST(FrameTest, EveryMessageSurvivesEncodingAndDecoding) {
   const FleetKeys keys = MakeKeys('k');
   const std::vector<Message> messages = MakeAllMessages();
   ASSERT_EQ(messages.size(), std::variant_size_v<MessageBody>);
@@ -80,7 +80,7 @@
   }
 }
 
-TEST(FrameTest, ARefusedVersionComesBackWithABoundedExplanation) {
+TEST(FrameTest, RefusedVersionIsDecodedWithTruncatedExplanation) {
   Message message = MakeMessage(Ping{123'456, {}});
   message.sender.refused =
       RefusedVersion{{43, 0, 9}, "node-3", std::string(kMaxExplanationBytes + 50, 'e')};
@@ -91,7 +91,7 @@
   EXPECT_EQ(outcome.value().sender.refused, expected);
 }
 
-TEST(FrameTest, StaysSmall) {
+TEST(FrameTest, FramesStayWithinSizeBudget) {
   const std::string ping = EncodeMessage(MakeMessage(Ping{123'456, {}}));
   const std::string frame = SealFrame(MakeKeys('k'), ping);
   EXPECT_EQ(frame.size(), ping.size() + SealOverhead());
@@ -101,7 +101,7 @@
   RecordProperty("ping_bytes", static_cast<int>(frame.size()));
 }
 
-TEST(FrameTest, RefusesWhatIsNotAFrame) {
+TEST(FrameTest, RejectsMalformedFrames) {
   struct Case {
     const char* name;
     std::function<void(std::string&)> damage;
@@ -175,16 +175,17 @@
   for (const Case& entry : cases) {
     EXPECT_EQ(OpenError(entry.receiver, Seal(entry.sender)), entry.expected) << entry.name;
   }
-  EXPECT_EQ(SealFrame({}, "x"), "") << "without a key nothing leaves";
+  EXPECT_EQ(SealFrame({}, "x"), "") << "a frame must not be made without a key";
 }
 
-TEST(FrameTest, DecoderRefusesDamagedMessages) {
+TEST(FrameTest, DecoderRejectsDamagedMessages) {
   struct Case {
     const char* name;
     std::function<void(std::string&)> damage;
   };
   const std::string ping = EncodeMessage(MakeMessage(Ping{0, {}}));
-  const std::size_t type_offset = ping.size() - 3;  // Type, number, count of updates.
+  // The encoding ends with the message type, the number and the count of updates, one byte each.
+  const std::size_t type_offset = ping.size() - 3;
   const std::vector<Case> cases = {
       {"unknown type", [&](auto& bytes) { bytes[type_offset] = 11; }},
       {"largest type", [&](auto& bytes) { bytes[type_offset] = '\xff'; }},
@@ -218,10 +219,10 @@
   }
 }
 
-TEST(FrameTest, DecoderBoundsThePushesEtag) {
+TEST(FrameTest, DecoderLimitsAndChecksTheEtagOfAPush) {
   struct Case {
     const char* name;
-    std::size_t size;  // Of the ETag that is encoded.
+    std::size_t size;  // Size of the encoded ETag.
     std::function<void(std::string&)> damage;
     bool accepted;
   };
@@ -258,7 +259,8 @@
   }
 }
 
-// One to four random edits: a byte set, a bit flipped, bytes removed, repeated or put in.
+// Applies one to four random edits, each of which sets a byte, flips a bit, or removes, repeats or
+// inserts bytes.
 void Mutate(std::mt19937& random, std::string& bytes) {
   const auto pick = [&](std::size_t limit) { return limit == 0 ? 0 : random() % limit; };
   for (std::size_t edits = 1 + pick(4); edits > 0 && !bytes.empty(); --edits) {
@@ -283,11 +285,13 @@
   }
 }
 
-TEST(FrameFuzzTest, MutatedMessagesAllocateNoMoreThanASmallMultipleOfTheirBytes) {
+TEST(FrameFuzzTest, DecodingMutatedMessagesAllocatesBoundedMemory) {
   constexpr int kMutations = 300'000;
-  // A record takes 6 bytes at least and sizeof(MemberRecord), with its longer names, when decoded.
-  constexpr std::size_t kMultiple = 64;
-  constexpr std::size_t kConstant = 4096;  // Error texts, and the growth of short strings.
+  // An encoded record takes at least 6 bytes, a decoded one sizeof(MemberRecord) plus the heap
+  // memory of its longer names.
+  constexpr std::size_t kMaxBytesPerInputByte = 64;
+  // Covers error texts and the growth of short strings.
+  constexpr std::size_t kFixedAllowanceBytes = 4096;
   std::vector<std::string> corpus;
   for (const Message& message : MakeAllMessages()) corpus.push_back(EncodeMessage(message));
   std::mt19937 random(20'260'701);
@@ -297,7 +301,7 @@
     Mutate(random, bytes);
     AllocatedBytes() = 0;
     const auto outcome = Resolve([&] { return DecodeMessage(bytes); });
-    ASSERT_LE(AllocatedBytes(), kMultiple * bytes.size() + kConstant);
+    ASSERT_LE(AllocatedBytes(), kMaxBytesPerInputByte * bytes.size() + kFixedAllowanceBytes);
     if (!outcome) continue;
     ++accepted;
     const std::string again = EncodeMessage(outcome.value());
@@ -321,13 +325,13 @@
   }
 }
 
-TEST(FleetKeysTest, ReadsOneOrTwoKeysAndNamesTheFault) {
+TEST(FleetKeysTest, ReadsOneOrTwoKeysAndReportsTheFaultyLine) {
   const std::string key = "MDEyMzQ1Njc4OTAxMjM0NTY3ODkwMTIzNDU2Nzg5MDE=";
   struct Case {
     const char* name;
     std::string content;
-    std::size_t keys;            // 0: refused.
-    std::string expected_place;  // After the path.
+    std::size_t keys;            // Number of keys; 0 if the file is rejected.
+    std::string expected_place;  // Suffix after the path.
   };
   const std::vector<Case> cases = {
       {"one", key + "\n", 1, ""},
--- a/tests/transport/test_messages.h
+++ b/tests/transport/test_messages.h
@@ -1,4 +1,4 @@
-// Messages of every type, for the tests of frames and transports.
+// Creates messages of every type for the tests of frames and transports.
 #pragma once
 
 #include <memory>
@@ -38,7 +38,7 @@
   return push;
 }
 
-// Records that differ in every field that is encoded in more than one way.
+// Returns records that use every form of the fields that are encoded in more than one form.
 inline std::vector<MemberRecord> MakeVariedRecords() {
   std::vector<MemberRecord> records(5, MakeRecord("node-2", 7002));
   records[1].zone = "a-zone-whose-name-is-longer-than-a-short-string";
@@ -54,7 +54,7 @@
   return records;
 }
 
-// At least one message of each alternative of MessageBody, in its order.
+// Returns one message for each alternative of MessageBody, in their order.
 inline std::vector<Message> MakeAllMessages() {
   const DocumentVersion version{42, 1, 99};
   std::vector<Message> messages;
