--- a/src/transport/datagram_channel.cc
+++ b/src/transport/datagram_channel.cc
@@ -7,7 +7,8 @@
 namespace copperlead {
 namespace {
 
-constexpr int kDatagramsPerWakeup = 64;  // Then other sockets have their turn.
+// Upper bound on datagrams read per wake-up, so that one busy socket does not starve the others.
+constexpr int kMaxDatagramsPerWakeup = 64;
 
 }  // namespace
 
@@ -45,7 +46,7 @@
 
 void DatagramChannel::Receive() {
   std::array<char, kMaxDatagramBytes> buffer;
-  for (int count = 0; count < kDatagramsPerWakeup && socket_.open(); ++count) {
+  for (int count = 0; count < kMaxDatagramsPerWakeup && socket_.open(); ++count) {
     NativeAddress native;
     native.size = sizeof(native.storage);
     const ssize_t size = recvfrom(socket_.descriptor(), buffer.data(), buffer.size(), MSG_TRUNC,
--- a/src/transport/datagram_channel.h
+++ b/src/transport/datagram_channel.h
@@ -1,4 +1,5 @@
-// The UDP side of a transport. Internal to the transport module.
+// Sends and receives the UDP datagrams of a transport. This header is internal to the transport
+// module.
 #pragma once
 
 #include <functional>
@@ -12,17 +13,19 @@
 
 class DatagramChannel {
  public:
-  // Called on the reactor's thread with each datagram that may be a frame.
+  // Called on the reactor's thread with each received datagram that is small enough to be a frame;
+  // the content has not been checked.
   using Handler = std::function<void(const SocketAddress& from, std::string_view datagram)>;
 
   DatagramChannel(Reactor& reactor, Socket socket, TransportCounters& counters, Handler handler);
 
-  // Reactor's thread.
+  // Open() and Close() must be called on the reactor's thread.
   void Open();
   void Close();
 
-  // Sends one datagram; never blocks. A full socket buffer counts as a failure, like any loss on
-  // the way. Any thread.
+  // Sends one datagram without blocking. A datagram that the system does not accept, for example
+  // because the socket buffer is full, is dropped and counted in send_failures. May be called on
+  // any thread.
   void Send(const SocketAddress& to, std::string_view frame);
 
  private:
@@ -32,7 +35,7 @@
   TransportCounters& counters_;
   const Handler handler_;
   Reactor::WatchId watch_ = 0;
-  std::mutex mutex_;  // Guards socket_ against Close() during Send().
+  std::mutex mutex_;  // Prevents Close() from closing socket_ during Send().
   Socket socket_;
 };
 
--- a/src/transport/reactor.cc
+++ b/src/transport/reactor.cc
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kEventsPerWait = 256;
-constexpr int kLongestWaitMs = 60'000;
+constexpr int kMaxWaitMs = 60'000;
 constexpr Reactor::WatchId kWakeupId = 0;
 
 epoll_event MakeEvent(Reactor::WatchId id, std::uint32_t events) {
@@ -50,7 +50,7 @@
     const std::lock_guard lock(mutex_);
     if (stopping_) return;
     posted_.push_back(std::move(task));
-    if (posted_.size() > 1) return;  // Woken already.
+    if (posted_.size() > 1) return;  // The first task in the queue has already woken the thread.
   }
   Wake();
 }
@@ -87,7 +87,7 @@
   return id;
 }
 
-void Reactor::Change(WatchId id, const Socket& socket, std::uint32_t events) {
+void Reactor::ModifyWatch(WatchId id, const Socket& socket, std::uint32_t events) {
   epoll_event event = MakeEvent(id, events);
   epoll_ctl(epoll_.descriptor(), EPOLL_CTL_MOD, socket.descriptor(), &event);
 }
@@ -108,11 +108,12 @@
   const std::lock_guard lock(stop_mutex_);
   if (!thread_.joinable()) return;
   thread_.join();
-  DropAll();
+  DestroyWatchesAndTimers();
 }
 
-// What waits may own who owns this reactor; nothing of it will run any more.
-void Reactor::DropAll() {
+// Watches and timers may own an object that in turn owns this reactor; destroying them breaks the
+// cycle. None of them runs after Stop().
+void Reactor::DestroyWatchesAndTimers() {
   const auto handlers = std::move(handlers_);
   const auto timers = std::move(timers_);
   handlers_.clear();
@@ -137,10 +138,10 @@
 }
 
 int Reactor::WaitMilliseconds() {
-  if (timers_.empty()) return kLongestWaitMs;
-  const Duration left = timers_.begin()->first - SteadyClock().Now();
-  const auto rounded_up = std::chrono::ceil<Milliseconds>(left).count();
-  return static_cast<int>(std::clamp<std::int64_t>(rounded_up, 0, kLongestWaitMs));
+  if (timers_.empty()) return kMaxWaitMs;
+  const Duration remaining = timers_.begin()->first - SteadyClock().Now();
+  const auto rounded_up = std::chrono::ceil<Milliseconds>(remaining).count();
+  return static_cast<int>(std::clamp<std::int64_t>(rounded_up, 0, kMaxWaitMs));
 }
 
 void Reactor::RunPosted() {
@@ -153,7 +154,8 @@
 }
 
 void Reactor::RunDueTimers() {
-  // Taken out first: a task that asks for a time already past waits until sockets had their turn.
+  // Removes all due timers before it runs any of them: a timer that a task sets to a past time then
+  // runs in the next iteration, after the sockets have been served.
   const auto end = timers_.upper_bound(SteadyClock().Now());
   std::vector<Task> due;
   for (auto timer = timers_.begin(); timer != end; ++timer) due.push_back(std::move(timer->second));
@@ -170,13 +172,15 @@
   }
   const auto found = handlers_.find(id);
   if (found == handlers_.end()) return;
-  const std::shared_ptr<const Handler> handler = found->second;  // It may unwatch itself.
+  // The copy keeps the handler alive when it calls Unwatch() for its own watch.
+  const std::shared_ptr<const Handler> handler = found->second;
   (*handler)(events);
 }
 
 void Reactor::Wake() {
   const std::uint64_t one = 1;
-  // Fails only when the count is at its limit: the thread is then awake anyway.
+  // The write fails only when the eventfd counter is at its limit, and then the descriptor is
+  // readable and the thread wakes anyway.
   [[maybe_unused]] const auto written = write(wakeup_.descriptor(), &one, sizeof(one));
 }
 
--- a/src/transport/reactor.h
+++ b/src/transport/reactor.h
@@ -1,5 +1,5 @@
-// One thread that waits for many sockets and timers (epoll). Every transport of a process may share
-// one.
+// An event loop on one thread that serves many sockets and timers with epoll. All transports of a
+// process may share one.
 #pragma once
 
 #include <atomic>
@@ -21,34 +21,36 @@
 class Reactor {
  public:
   using Task = std::function<void()>;
-  // @param events the EPOLL* bits that came.
+  // @param events the EPOLL* bits that were reported.
   using Handler = std::function<void(std::uint32_t events)>;
-  // Names one watch; never used twice, so that an event for a closed socket finds nobody.
+  // Identifies one watch. Ids are never reused, so a pending event for a closed socket is ignored
+  // instead of reaching a newer watch with the same descriptor.
   using WatchId = std::uint64_t;
 
-  // @return kInternal when the system has no descriptor left.
+  // @return the running reactor, or kInternal when the system has no free descriptor.
   static Result<std::shared_ptr<Reactor>> Start();
   ~Reactor();
   Reactor(const Reactor&) = delete;
   Reactor& operator=(const Reactor&) = delete;
 
-  // Runs the task on the reactor's thread, soon. Any thread. After Stop() it is dropped.
+  // Queues the task to run on the reactor's thread. After Stop() it is discarded. May be called on
+  // any thread.
   void Post(Task task);
-  // Runs the task on the reactor's thread and waits for its end (at once when called there).
-  // After Stop() it runs on the caller's thread. Any thread.
+  // Runs the task on the reactor's thread and waits for its completion. When called on that thread,
+  // runs it immediately; after Stop(), runs it on the calling thread. May be called on any thread.
   void RunAndWait(const Task& task);
-  // True on the reactor's thread.
+  // @return true when called on the reactor's thread.
   bool IsCurrentThread() const;
 
-  // The following are for the reactor's thread only.
+  // Watch(), ModifyWatch(), Unwatch() and RunAt() must be called on the reactor's thread.
   WatchId Watch(const Socket& socket, std::uint32_t events, Handler handler);
-  void Change(WatchId id, const Socket& socket, std::uint32_t events);
-  // To be called before the socket is closed. Safe within the watch's own handler.
+  void ModifyWatch(WatchId id, const Socket& socket, std::uint32_t events);
+  // Must be called before the socket is closed. May be called from the watch's own handler.
   void Unwatch(WatchId id, const Socket& socket);
   void RunAt(Timestamp when, Task task);
 
-  // Ends the thread after the task that runs, and drops watches and timers with what they own.
-  // Idempotent; not from the reactor's thread.
+  // Runs the tasks that are already queued, ends the thread, and destroys all watches and timers
+  // with the objects they own. Idempotent. Must not be called on the reactor's thread.
   void Stop();
 
  private:
@@ -59,23 +61,23 @@
   void RunPosted();
   void RunDueTimers();
   void Dispatch(WatchId id, std::uint32_t events);
-  void DropAll();
+  void DestroyWatchesAndTimers();
   void Wake();
 
   const Socket epoll_;
-  const Socket wakeup_;  // An eventfd.
+  const Socket wakeup_;  // Eventfd that wakes the thread from epoll_wait().
 
-  // Of the reactor's thread.
+  // These members are used on the reactor's thread only.
   std::unordered_map<WatchId, std::shared_ptr<const Handler>> handlers_;
   std::multimap<Timestamp, Task> timers_;
   WatchId last_id_ = 0;
 
-  std::mutex mutex_;  // Guards the next two.
+  std::mutex mutex_;  // Guards posted_ and stopping_.
   std::vector<Task> posted_;
   bool stopping_ = false;
 
   std::atomic<std::thread::id> thread_id_;
-  std::mutex stop_mutex_;  // Only one thread joins.
+  std::mutex stop_mutex_;  // Ensures that only one thread joins thread_.
   std::thread thread_;
 };
 
--- a/src/transport/socket.cc
+++ b/src/transport/socket.cc
@@ -12,8 +12,10 @@
 namespace {
 
 constexpr int kListenBacklog = 512;
-constexpr int kDatagramBufferBytes = 1 << 20;  // A push storm's worth of datagrams.
-constexpr int kPortAttempts = 32;              // With port 0: until one is free for both.
+// Receive buffer of the UDP socket, large enough for a burst of pushed updates.
+constexpr int kDatagramBufferBytes = 1 << 20;
+// Number of attempts to find a port that is free for both UDP and TCP when port 0 is requested.
+constexpr int kPortAttempts = 32;
 
 void SetOption(const Socket& socket, int level, int option, int value) {
   setsockopt(socket.descriptor(), level, option, &value, sizeof(value));
@@ -23,7 +25,7 @@
   return Socket(::socket(family, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
 }
 
-// Without SO_REUSEADDR: on UDP it would let two nodes share a port without an error.
+// Does not set SO_REUSEADDR: for UDP it would let two nodes share a port without an error.
 Socket BindDatagram(const NativeAddress& address) {
   Socket socket = OpenSocket(address.storage.ss_family, SOCK_DGRAM);
   if (!socket.open()) return socket;
@@ -53,7 +55,8 @@
 
 void Socket::Close() {
   if (descriptor_ < 0) return;
-  const int saved_errno = errno;  // So that a caller may still report why it gave up.
+  // Preserves errno so that the caller can still report why an earlier call failed.
+  const int saved_errno = errno;
   ::close(std::exchange(descriptor_, -1));
   errno = saved_errno;
 }
--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -1,5 +1,6 @@
-// Sockets as values: an owned descriptor, numeric addresses, and the few calls the transport
-// makes. All sockets are non-blocking and closed on exec. Internal to the transport module.
+// Socket descriptors with ownership, numeric socket addresses, and the socket calls that the
+// transport needs. All sockets are non-blocking and closed on exec. This header is internal to the
+// transport module.
 #pragma once
 
 #include <netinet/in.h>
@@ -12,7 +13,7 @@
 
 namespace copperlead {
 
-// Owns one descriptor.
+// A descriptor that is closed by its owner's destructor.
 class Socket {
  public:
   Socket() = default;
@@ -29,7 +30,7 @@
   int descriptor_ = -1;
 };
 
-// An address as the system calls take it.
+// A socket address in the form that the system calls use.
 struct NativeAddress {
   sockaddr_storage storage{};
   socklen_t size = 0;
@@ -38,26 +39,28 @@
   sockaddr* pointer() { return reinterpret_cast<sockaddr*>(&storage); }
 };
 
-// @return nothing when `address.ip` is not numeric.
+// @return nullopt when `address.ip` is not a numeric IP address.
 std::optional<NativeAddress> ToNative(const SocketAddress& address);
 SocketAddress FromNative(const NativeAddress& native);
 
 // @return the address that the socket is bound to.
 SocketAddress LocalAddress(const Socket& socket);
 
-// The two sockets of a node: one port for both.
+// The UDP and the TCP socket of a node, bound to the same port.
 struct BoundSockets {
   Socket datagram;
   Socket listener;
   SocketAddress address;
 };
 
-// Binds UDP and TCP on the same port and listens. With port 0, one that is free for both.
-// @return kBadAddress, or kAddressInUse naming the address and the system's reason.
+// Binds UDP and TCP sockets to the same port and listens. With port 0, chooses a port that is free
+// for both.
+// @return the sockets, or kBadAddress, or kAddressInUse with the address and the system's
+//         error text.
 Result<BoundSockets> BindSockets(const SocketAddress& address);
 
-// Starts a TCP connection that does not block.
-// @return a closed socket when the system refuses at once.
+// Starts a non-blocking TCP connection attempt.
+// @return the socket, which is closed when the attempt fails immediately.
 Socket StartConnect(const NativeAddress& address);
 
 }  // namespace copperlead
--- a/src/transport/stream_receiver.cc
+++ b/src/transport/stream_receiver.cc
@@ -10,8 +10,9 @@
 namespace {
 
 constexpr std::size_t kReadBytes = std::size_t{64} * 1024;
-constexpr int kReadsPerWakeup = 8;     // Then other sockets have their turn.
-constexpr int kAcceptsPerWakeup = 64;  // Likewise.
+// Upper bounds per wake-up, so that one busy socket does not starve the others.
+constexpr int kMaxReadsPerWakeup = 8;
+constexpr int kMaxAcceptsPerWakeup = 64;
 
 Timestamp Now() { return SteadyClock().Now(); }
 
@@ -38,20 +39,21 @@
 }
 
 void StreamReceiver::Accept() {
-  for (int count = 0; count < kAcceptsPerWakeup; ++count) {
+  for (int count = 0; count < kMaxAcceptsPerWakeup; ++count) {
     Socket socket(accept4(listener_.descriptor(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (socket.open()) {
       Admit(std::move(socket));
       continue;
     }
-    // Without a free descriptor the listener would stay readable for ever: make room.
-    if ((errno == EMFILE || errno == ENFILE) && !connections_.empty()) EvictStalest();
+    // When no descriptor is free the listener stays readable, which would wake the reactor again
+    // and again. Closing a connection frees a descriptor.
+    if ((errno == EMFILE || errno == ENFILE) && !connections_.empty()) CloseLeastRecentlyUsed();
     return;
   }
 }
 
 void StreamReceiver::Admit(Socket socket) {
-  if (connections_.size() >= limits_.connections) EvictStalest();
+  if (connections_.size() >= limits_.connections) CloseLeastRecentlyUsed();
   const auto connection = std::make_shared<Connection>();
   connection->socket = std::move(socket);
   connection->last_frame = Now();
@@ -62,41 +64,41 @@
   ScheduleSweep();
 }
 
-void StreamReceiver::EvictStalest() {
-  const auto stalest =
+void StreamReceiver::CloseLeastRecentlyUsed() {
+  const auto least_recent =
       std::min_element(connections_.begin(), connections_.end(),
                        [](const ConnectionPointer& left, const ConnectionPointer& right) {
                          return left->last_frame < right->last_frame;
                        });
-  ++counters_.refused_streams;
-  Remove(ConnectionPointer(*stalest));
+  ++counters_.rejected_streams;
+  Remove(ConnectionPointer(*least_recent));
 }
 
 void StreamReceiver::Receive(const ConnectionPointer& connection) {
   std::array<char, kReadBytes> chunk;
-  for (int count = 0; count < kReadsPerWakeup && connection->socket.open(); ++count) {
+  for (int count = 0; count < kMaxReadsPerWakeup && connection->socket.open(); ++count) {
     const ssize_t size = recv(connection->socket.descriptor(), chunk.data(), chunk.size(), 0);
     if (size < 0 && (errno == EAGAIN || errno == EINTR)) return;
     if (size <= 0) return Remove(connection);
     const auto bytes = static_cast<std::size_t>(size);
     if (buffered_bytes_ + bytes > limits_.buffered_bytes) {
-      ++counters_.refused_streams;
+      ++counters_.rejected_streams;
       return Remove(connection);
     }
     if (connection->buffer.empty()) connection->deadline = Now() + limits_.frame_timeout;
     connection->buffer.append(chunk.data(), bytes);
     buffered_bytes_ += bytes;
-    if (!TakeFrames(*connection)) return Remove(connection);
+    if (!HandleFrames(*connection)) return Remove(connection);
   }
 }
 
 // @return false when the connection must be closed.
-bool StreamReceiver::TakeFrames(Connection& connection) {
-  std::size_t taken = 0;
-  bool good = true;
-  while (good && connection.socket.open() &&
-         connection.buffer.size() - taken >= FrameHeaderBytes()) {
-    const std::string_view rest = std::string_view(connection.buffer).substr(taken);
+bool StreamReceiver::HandleFrames(Connection& connection) {
+  std::size_t consumed = 0;
+  bool keep_open = true;
+  while (keep_open && connection.socket.open() &&
+         connection.buffer.size() - consumed >= FrameHeaderBytes()) {
+    const std::string_view rest = std::string_view(connection.buffer).substr(consumed);
     const Outcome<std::size_t> size = Resolve([&] { return FrameSize(rest); });
     if (!size) {
       ++counters_.bad_frames;
@@ -104,17 +106,17 @@
     }
     if (rest.size() < size.value()) break;
     counters_.bytes_received += size.value();
-    good = handler_(rest.substr(0, size.value()));
-    taken += size.value();
+    keep_open = handler_(rest.substr(0, size.value()));
+    consumed += size.value();
     connection.last_frame = Now();
     connection.deadline = connection.last_frame + limits_.idle_timeout;
   }
-  if (taken == 0 || !connection.socket.open()) return good;
-  connection.buffer.erase(0, taken);
-  buffered_bytes_ -= taken;
+  if (consumed == 0 || !connection.socket.open()) return keep_open;
+  connection.buffer.erase(0, consumed);
+  buffered_bytes_ -= consumed;
   if (connection.buffer.empty()) connection.buffer.shrink_to_fit();
   if (!connection.buffer.empty()) connection.deadline = Now() + limits_.frame_timeout;
-  return good;
+  return keep_open;
 }
 
 void StreamReceiver::Remove(const ConnectionPointer& connection) {
@@ -139,7 +141,7 @@
   const std::vector<ConnectionPointer> connections = connections_;
   for (const ConnectionPointer& connection : connections) {
     if (connection->deadline > now) continue;
-    if (!connection->buffer.empty() || connection->socket.open()) ++counters_.refused_streams;
+    if (!connection->buffer.empty() || connection->socket.open()) ++counters_.rejected_streams;
     Remove(connection);
   }
   ScheduleSweep();
--- a/src/transport/stream_receiver.h
+++ b/src/transport/stream_receiver.h
@@ -1,8 +1,9 @@
-// The accepting TCP side of a transport: reads frames from other nodes' connections.
+// Accepts TCP connections from other nodes and reads frames from them.
 //
-// Whoever connects may be anyone, so everything is bounded: the number of connections, the time
-// until a frame is whole, and the bytes held for frames that are not. Buffers grow with the bytes
-// that arrive, not with the length that a header claims. Internal to the transport module.
+// Connecting peers are not trusted. The number of connections, the time until a frame is complete
+// and the bytes buffered for incomplete frames are therefore limited. Buffers grow with the bytes
+// received, not with the length that a header claims. This header is internal to the transport
+// module.
 #pragma once
 
 #include <functional>
@@ -16,19 +17,21 @@
 
 namespace copperlead {
 
-// Bounds on incoming connections.
+// Limits on incoming connections.
 struct StreamReceiverLimits {
   std::size_t connections = 256;
-  std::size_t buffered_bytes = 4 * kMaxFrameBytes;    // Over all connections.
-  Duration idle_timeout = std::chrono::seconds(5);    // Until a frame's first byte.
-  Duration frame_timeout = std::chrono::seconds(10);  // From a frame's first byte to its last.
-  Duration sweep_interval = Milliseconds(500);        // How often deadlines are looked at.
+  std::size_t buffered_bytes = 4 * kMaxFrameBytes;  // Total over all connections.
+  Duration idle_timeout = std::chrono::seconds(5);  // Longest wait for the first byte of a frame.
+  // Longest time from the first byte of a frame to its last.
+  Duration frame_timeout = std::chrono::seconds(10);
+  Duration sweep_interval = Milliseconds(500);  // Interval between checks of the deadlines.
 };
 
-// All functions are for the reactor's thread.
+// All functions must be called on the reactor's thread.
 class StreamReceiver : public std::enable_shared_from_this<StreamReceiver> {
  public:
-  // Called with each whole frame. @return false to close the connection it came from.
+  // Called with each complete frame.
+  // @return false to close the connection on which the frame arrived.
   using Handler = std::function<bool(std::string_view frame)>;
 
   StreamReceiver(Reactor& reactor, Socket listener, const StreamReceiverLimits& limits,
@@ -44,16 +47,17 @@
     Reactor::WatchId watch = 0;
     std::string buffer;
     Timestamp deadline{};
-    Timestamp last_frame{};  // When it last brought a good frame; at first, when it was accepted.
+    Timestamp last_frame{};  // Arrival of the last complete frame; initially the acceptance.
   };
   using ConnectionPointer = std::shared_ptr<Connection>;
 
   void Accept();
   void Admit(Socket socket);
-  void EvictStalest();
+  void CloseLeastRecentlyUsed();
   void Receive(const ConnectionPointer& connection);
-  bool TakeFrames(Connection& connection);
-  // @param connection not an element of connections_, which it is taken out of.
+  bool HandleFrames(Connection& connection);
+  // Closes the connection.
+  // @param connection must not refer to an element of connections_, since that element is erased.
   void Remove(const ConnectionPointer& connection);
   void ScheduleSweep();
   void Sweep();
--- a/src/transport/stream_sender.cc
+++ b/src/transport/stream_sender.cc
@@ -10,7 +10,8 @@
 
 constexpr std::uint32_t kIdleEvents = EPOLLIN | EPOLLRDHUP;
 constexpr std::uint32_t kWritingEvents = kIdleEvents | EPOLLOUT;
-// Nothing ever comes back on these connections: readable means closed, or not one of ours.
+// Peers never send data on these connections, so a readable socket was closed by the peer or the
+// peer is not a node of the fleet.
 constexpr std::uint32_t kLostEvents = EPOLLIN | EPOLLRDHUP | EPOLLERR | EPOLLHUP;
 
 Timestamp Now() { return SteadyClock().Now(); }
@@ -50,7 +51,7 @@
     return ScheduleSweep();
   }
   const PeerPointer peer = found->second;
-  // The first frame may be partly written, so the oldest that can be dropped is the second.
+  // The first frame may be partly written, so the second is the oldest one that can be dropped.
   if (peer->frames.size() >= limits_.frames_per_peer) DropFrame(*peer, 1);
   peer->frames.push_back(std::move(frame));
   if (peer->connected && peer->frames.size() == 1) {
@@ -78,7 +79,7 @@
 }
 
 void StreamSender::HandleEvents(const PeerPointer& peer, std::uint32_t events) {
-  if ((events & kLostEvents) != 0) return Lost(peer);
+  if ((events & kLostEvents) != 0) return HandleConnectionLoss(peer);
   if ((events & EPOLLOUT) == 0) return;
   if (!peer->connected) {
     peer->connected = true;
@@ -93,15 +94,15 @@
     const ssize_t size = send(peer->socket.descriptor(), frame.data() + peer->written,
                               frame.size() - peer->written, MSG_NOSIGNAL);
     if (size < 0 && (errno == EAGAIN || errno == EINTR)) {
-      return reactor_.Change(peer->watch, peer->socket, kWritingEvents);
+      return reactor_.ModifyWatch(peer->watch, peer->socket, kWritingEvents);
     }
-    if (size < 0) return Lost(peer);
+    if (size < 0) return HandleConnectionLoss(peer);
     peer->written += static_cast<std::size_t>(size);
     peer->deadline = Now() + limits_.write_timeout;
     if (peer->written == frame.size()) FinishFrame(*peer);
   }
   peer->deadline = Now() + limits_.idle_timeout;
-  reactor_.Change(peer->watch, peer->socket, kIdleEvents);
+  reactor_.ModifyWatch(peer->watch, peer->socket, kIdleEvents);
 }
 
 void StreamSender::FinishFrame(Peer& peer) {
@@ -122,15 +123,16 @@
   queued_bytes_ -= size;
 }
 
-void StreamSender::Lost(const PeerPointer& peer) {
+void StreamSender::HandleConnectionLoss(const PeerPointer& peer) {
   if (!peer->reused || peer->frames.empty()) return Remove(peer);
-  // The other side closed a connection that waited for work: that says nothing about the next.
+  // The peer may just have closed an idle connection, which does not mean that it is unreachable,
+  // so the queued frames are sent over a new connection.
   Disconnect(*peer);
   Connect(peer);
 }
 
 void StreamSender::Remove(const PeerPointer& peer) {
-  const auto node = peers_.extract(peer->address);  // Keeps the peer until the end.
+  const auto node = peers_.extract(peer->address);  // Keeps the peer alive until the return.
   Disconnect(*peer);
   while (!peer->frames.empty()) DropFrame(*peer, 0);
 }
--- a/src/transport/stream_sender.h
+++ b/src/transport/stream_sender.h
@@ -1,5 +1,5 @@
-// The connecting TCP side of a transport: carries large frames to other nodes over connections
-// that are kept for a short while after use. Internal to the transport module.
+// Sends large frames to other nodes over TCP connections, which are kept open for a short time
+// after use. This header is internal to the transport module.
 #pragma once
 
 #include <atomic>
@@ -14,27 +14,28 @@
 
 namespace copperlead {
 
-// Bounds on outgoing connections.
+// Limits on outgoing connections.
 struct StreamSenderLimits {
-  std::size_t peers = 512;                        // Connections at a time.
-  std::size_t frames_per_peer = 16;               // Then the oldest waiting one is dropped.
-  std::size_t queued_bytes = 8 * kMaxFrameBytes;  // Over all peers; then new ones are dropped.
+  std::size_t peers = 512;                        // Largest number of simultaneous connections.
+  std::size_t frames_per_peer = 16;               // Beyond it the oldest unsent frame is dropped.
+  std::size_t queued_bytes = 8 * kMaxFrameBytes;  // Over all peers; more frames are dropped.
   Duration connect_timeout = std::chrono::seconds(1);
-  Duration write_timeout = std::chrono::seconds(5);  // Without any progress.
-  Duration idle_timeout = std::chrono::seconds(1);   // A connection is kept after its last frame.
-  Duration sweep_interval = Milliseconds(200);       // How often deadlines are looked at.
+  Duration write_timeout = std::chrono::seconds(5);  // Longest time without progress.
+  Duration idle_timeout = std::chrono::seconds(1);   // Idle connections are closed after it.
+  Duration sweep_interval = Milliseconds(200);       // Interval between checks of the deadlines.
 };
 
 class StreamSender : public std::enable_shared_from_this<StreamSender> {
  public:
   StreamSender(Reactor& reactor, const StreamSenderLimits& limits, TransportCounters& counters);
 
-  // Queues a frame; never blocks. Any thread.
+  // Queues a frame without blocking. May be called on any thread.
   void Send(const SocketAddress& to, std::string frame);
-  // True when no frame waits or is being written. Any thread.
-  bool Drained() const { return queued_bytes_ == 0; }
+  // @return true when no frame is queued or being written. May be called on any thread.
+  bool IsIdle() const { return queued_bytes_ == 0; }
 
-  // Drops what is queued, closes every connection and takes nothing more. Reactor's thread.
+  // Drops all queued frames, closes all connections and drops every later frame. Must be called on
+  // the reactor's thread.
   void Close();
 
  private:
@@ -43,9 +44,9 @@
     Socket socket;
     Reactor::WatchId watch = 0;
     bool connected = false;
-    bool reused = false;  // Carried a frame before: the other side may have closed it meanwhile.
+    bool reused = false;  // True after the first frame; the peer may have closed it while idle.
     std::deque<std::string> frames;
-    std::size_t written = 0;  // Bytes of the first frame.
+    std::size_t written = 0;  // Number of bytes of the first frame that are written.
     Timestamp deadline{};
   };
   using PeerPointer = std::shared_ptr<Peer>;
@@ -57,7 +58,7 @@
   void Write(const PeerPointer& peer);
   void FinishFrame(Peer& peer);
   void DropFrame(Peer& peer, std::size_t index);
-  void Lost(const PeerPointer& peer);
+  void HandleConnectionLoss(const PeerPointer& peer);
   void Remove(const PeerPointer& peer);
   void ScheduleSweep();
   void Sweep();
@@ -65,8 +66,8 @@
   Reactor& reactor_;
   const StreamSenderLimits limits_;
   TransportCounters& counters_;
-  std::atomic<std::size_t> queued_bytes_{0};  // From Send() until written or dropped.
-  // Of the reactor's thread.
+  std::atomic<std::size_t> queued_bytes_{0};  // Size of all frames not yet written or dropped.
+  // These members are used on the reactor's thread only.
   std::map<SocketAddress, PeerPointer> peers_;
   bool sweep_scheduled_ = false;
   bool closed_ = false;
--- a/src/transport/transport.cc
+++ b/src/transport/transport.cc
@@ -27,11 +27,11 @@
   void Stop() override;
 
  private:
-  // @param from nothing for TCP: the sender's record tells.
-  // @return false for a bad frame.
+  // @param from nullopt for TCP, where the sender's record states the address.
+  // @return false when the frame is invalid or the transport is stopping.
   bool Receive(const std::optional<SocketAddress>& from, std::string_view frame);
   void CountFailure(const Error& error);
-  void WaitUntilDrained() const;
+  void WaitUntilIdle() const;
 
   const SocketAddress address_;
   const FleetKeys keys_;
@@ -63,7 +63,7 @@
 
 NodeTransport::~NodeTransport() {
   NodeTransport::Stop();
-  reactor_->RunAndWait([] {});  // A receiver that called Stop() itself has returned by now.
+  reactor_->RunAndWait([] {});  // Waits for the return of a receiver that called Stop() itself.
   if (owns_reactor_) reactor_->Stop();
 }
 
@@ -80,7 +80,7 @@
     ++counters_.send_failures;
     return;
   }
-  counters_.handed_bytes_by_body.at(message.body.index()) += frame.size();
+  counters_.submitted_bytes_by_body.at(message.body.index()) += frame.size();
   if (frame.size() <= kMaxDatagramBytes) return datagrams_.Send(to, frame);
   stream_sender_->Send(to, std::move(frame));
 }
@@ -110,7 +110,7 @@
 
 void NodeTransport::Stop() {
   if (stopping_.exchange(true)) return;
-  if (!reactor_->IsCurrentThread()) WaitUntilDrained();
+  if (!reactor_->IsCurrentThread()) WaitUntilIdle();
   reactor_->RunAndWait([this] {
     datagrams_.Close();
     stream_receiver_->Close();
@@ -119,9 +119,9 @@
   if (owns_reactor_ && !reactor_->IsCurrentThread()) reactor_->Stop();
 }
 
-void NodeTransport::WaitUntilDrained() const {
+void NodeTransport::WaitUntilIdle() const {
   const Timestamp deadline = SteadyClock().Now() + kDrainTimeout;
-  while (!stream_sender_->Drained() && SteadyClock().Now() < deadline) {
+  while (!stream_sender_->IsIdle() && SteadyClock().Now() < deadline) {
     std::this_thread::sleep_for(kDrainPollInterval);
   }
 }
--- a/tests/transport/reactor_test.cc
+++ b/tests/transport/reactor_test.cc
@@ -10,23 +10,23 @@
 namespace copperlead {
 namespace {
 
-// Asks again and again for a time that has passed, a bounded number of times.
-void Rearm(Reactor& reactor, Timestamp past, std::atomic<int>& left) {
-  if (left.fetch_sub(1) <= 0) return;
-  reactor.RunAt(past, [&, past] { Rearm(reactor, past, left); });
+// Sets a timer to a past time that sets itself again, until `remaining` reaches 0.
+void Rearm(Reactor& reactor, Timestamp past, std::atomic<int>& remaining) {
+  if (remaining.fetch_sub(1) <= 0) return;
+  reactor.RunAt(past, [&, past] { Rearm(reactor, past, remaining); });
 }
 
 TEST(ReactorTest, ATaskThatAsksForAPastTimeDoesNotKeepOthersFromTheirTurn) {
   const auto started = Resolve([] { return Reactor::Start(); });
   ASSERT_TRUE(started);
   Reactor& reactor = *started.value();
-  std::atomic<int> left{2'000'000};
-  reactor.RunAndWait([&] { Rearm(reactor, SteadyClock().Now(), left); });
-  // Runs while the timers go on re-arming themselves.
+  std::atomic<int> remaining{2'000'000};
+  reactor.RunAndWait([&] { Rearm(reactor, SteadyClock().Now(), remaining); });
+  // RunAndWait() has to return while the timer still re-arms itself.
   std::this_thread::sleep_for(Milliseconds(5));
   reactor.RunAndWait([] {});
-  EXPECT_GT(left, 0);
-  left = 0;
+  EXPECT_GT(remaining, 0);
+  remaining = 0;
   reactor.Stop();
 }
 
--- a/tests/transport/transport_test.cc
+++ b/tests/transport/transport_test.cc
@@ -16,14 +16,14 @@
 namespace copperlead {
 namespace {
 
-constexpr auto kGenerousWait = std::chrono::seconds(20);
+constexpr auto kTestTimeout = std::chrono::seconds(20);
 
 struct Delivery {
   SocketAddress from;
   std::shared_ptr<const Message> message;
 };
 
-// Collects what a transport delivers.
+// Queues the messages that a transport delivers.
 class Inbox {
  public:
   Transport::Receiver receiver() {
@@ -34,10 +34,10 @@
     };
   }
 
-  // @return the next delivery; an empty one after a generous wait.
+  // @return the next delivery; an empty one when none arrives within kTestTimeout.
   Delivery Next() {
     std::unique_lock lock(mutex_);
-    if (!changed_.wait_for(lock, kGenerousWait, [&] { return !deliveries_.empty(); })) return {};
+    if (!changed_.wait_for(lock, kTestTimeout, [&] { return !deliveries_.empty(); })) return {};
     Delivery delivery = deliveries_.front();
     deliveries_.pop_front();
     return delivery;
@@ -51,7 +51,7 @@
 
 template <class Condition>
 bool WaitFor(Condition condition) {
-  const auto deadline = std::chrono::steady_clock::now() + kGenerousWait;
+  const auto deadline = std::chrono::steady_clock::now() + kTestTimeout;
   while (!condition()) {
     if (std::chrono::steady_clock::now() > deadline) return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -72,7 +72,7 @@
   return message;
 }
 
-// A blocking client connection.
+// Opens a blocking client connection.
 Socket Connect(const SocketAddress& address) {
   const auto native = ToNative(address);
   Socket socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
@@ -85,7 +85,7 @@
          static_cast<ssize_t>(bytes.size());
 }
 
-// @return true when the other side closed the connection.
+// @return true when the peer closes the connection within the receive timeout of 20 seconds.
 bool WaitForClose(const Socket& socket) {
   timeval limit{20, 0};
   setsockopt(socket.descriptor(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
@@ -102,7 +102,7 @@
     ASSERT_TRUE(left_ && right_);
   }
 
-  // The transport still works: a datagram and a large frame both arrive.
+  // Checks that a message sent as a datagram and a large one sent over TCP both arrive.
   void ExpectDelivers() {
     left_->Send(right_->local_address(), MessageFrom(*left_, Ping{77, {}}));
     EXPECT_TRUE(right_inbox_.Next().message);
@@ -129,7 +129,8 @@
     const Delivery push = left_inbox_.Next();
     ASSERT_TRUE(push.message);
     EXPECT_EQ(std::get<Push>(push.message->body).transfer.payload->size(), kLarge + round);
-    EXPECT_EQ(push.from, right_->local_address()) << "where to answer, not the connection's end";
+    EXPECT_EQ(push.from, right_->local_address())
+        << "must be the sender's listening address, not the end of the TCP connection";
   }
   EXPECT_EQ(right_->counters().messages_sent, 3U);
   EXPECT_EQ(right_->counters().messages_received, 3U);
@@ -137,7 +138,7 @@
   EXPECT_EQ(left_->counters().bad_frames + left_->counters().unsealed_frames, 0U);
 }
 
-TEST_F(TransportTest, CountsAndDropsBadFramesOnBothSockets) {
+TEST_F(TransportTest, CountsAndDropsInvalidFramesOnBothSockets) {
   const SocketAddress target = right_->local_address();
   const auto native = ToNative(target);
   const Socket datagrams(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
@@ -162,7 +163,7 @@
   ExpectDelivers();
 }
 
-TEST_F(TransportTest, SilentAndSlowConnectionsDoNotHoldIt) {
+TEST_F(TransportTest, IdleAndSlowConnectionsDoNotBlockDelivery) {
   std::vector<Socket> connections;
   const std::string header = SealFrame(keys_, std::string(1000, 'x')).substr(0, 20);
   for (int count = 0; count < 300; ++count) {
@@ -171,13 +172,13 @@
     if (count % 2 == 0) WriteAll(connections.back(), header);
   }
   ExpectDelivers();
-  EXPECT_TRUE(WaitFor([&] { return right_->counters().refused_streams >= 44; }))
-      << "over the limit of 256";
+  EXPECT_TRUE(WaitFor([&] { return right_->counters().rejected_streams >= 44; }))
+      << "44 of 300 connections exceed the limit of 256";
   for (const Socket& connection : connections) EXPECT_TRUE(WaitForClose(connection));
   ExpectDelivers();
 }
 
-TEST_F(TransportTest, PeerGoneCountsFailuresAndComesBack) {
+TEST_F(TransportTest, CountsFailuresForAStoppedPeerAndDeliversAfterItsRestart) {
   const SocketAddress address = right_->local_address();
   ExpectDelivers();
   right_->Stop();
@@ -191,7 +192,7 @@
   EXPECT_TRUE(inbox.Next().message);
 }
 
-TEST_F(TransportTest, StopDeliversWhatIsQueuedAndIsIdempotent) {
+TEST_F(TransportTest, StopDeliversQueuedMessagesAndIsIdempotent) {
   for (int count = 0; count < 8; ++count) {
     left_->Send(right_->local_address(), MessageFrom(*left_, MakePush(1'000'000)));
   }
@@ -203,7 +204,7 @@
 }
 
 TEST_F(TransportTest, FullQueuesDropTheOldestAndNeverBlock) {
-  // A listener that accepts nothing more than its backlog, and reads nothing.
+  // This listener never accepts a connection from its backlog and never reads.
   const Socket listener(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   const auto any = ToNative(kAnyPort);
   ASSERT_EQ(bind(listener.descriptor(), any->pointer(), any->size), 0);
@@ -214,7 +215,7 @@
   ExpectDelivers();
 }
 
-TEST_F(TransportTest, AddressInUseAndBadAddressAreNamed) {
+TEST_F(TransportTest, ReportsAddressInUseAndBadAddress) {
   const auto in_use =
       Resolve([&] { return StartTransport(right_->local_address(), keys_, Inbox().receiver()); });
   ASSERT_FALSE(in_use.ok());
@@ -249,7 +250,7 @@
   transports.clear();
 }
 
-TEST(StreamReceiverTest, HoldsNoMoreBytesThanItsLimit) {
+TEST(StreamReceiverTest, LimitsBufferedBytes) {
   auto reactor = Resolve([] { return Reactor::Start(); }).value();
   auto bound = Resolve([] { return BindSockets(kAnyPort); });
   ASSERT_TRUE(bound.ok());
@@ -265,7 +266,7 @@
   const Socket second = Connect(bound.value().address);
   WriteAll(first, part);
   WriteAll(second, part);
-  EXPECT_TRUE(WaitFor([&] { return counters.refused_streams == 1; }));
+  EXPECT_TRUE(WaitFor([&] { return counters.rejected_streams == 1; }));
   reactor->RunAndWait([&] { receiver->Close(); });
 }
 
