--- a/src/node/agent_shell.cc
+++ b/src/node/agent_shell.cc
@@ -6,10 +6,11 @@
 namespace copperlead {
 namespace {
 
-// Without anything due; then the agent is merely asked again.
-constexpr Duration kLongestWait = std::chrono::hours(1);
+// Upper bound of one wait for events. When it ends with nothing due, the agent receives a
+// TimerFired event and is asked for its next deadline again.
+constexpr Duration kMaxWait = std::chrono::hours(1);
 
-// Calls the sink that belongs to an action.
+// Passes an action to the sink for its type.
 struct SinkCaller {
   const ActionSinks& sinks;
 
@@ -61,11 +62,13 @@
 
 bool AgentShell::WaitForEvent(Timestamp deadline, Event& event) {
   std::unique_lock lock(queue_mutex_);
-  // Timers go before queued events once due: a pause must be noticed before old messages are read.
+  // A due timer takes precedence over queued events, so that the agent detects a pause of the
+  // process before it handles messages that arrived before or during the pause.
   const auto due = [&] { return clock_.Now() >= deadline; };
   if (!due()) {
-    // As a time span: condition variables wait by a clock that stands still in a suspended machine.
-    queue_changed_.wait_for(lock, std::min<Duration>(deadline - clock_.Now(), kLongestWait),
+    // Waits for a duration instead of until a time point, because the clock of condition variables
+    // stands still while the machine is suspended.
+    queue_changed_.wait_for(lock, std::min<Duration>(deadline - clock_.Now(), kMaxWait),
                             [&] { return stopping_ || !queue_.empty(); });
   }
   if (stopping_) return false;
--- a/src/node/agent_shell.h
+++ b/src/node/agent_shell.h
@@ -1,5 +1,5 @@
-// The thread that drives an Agent: collects events, delivers timers, carries out actions.
-// A thin shell; every decision is the Agent's.
+// Runs an Agent on a thread: queues its events, delivers its timers and carries out its actions.
+// All decisions are made by the Agent.
 #pragma once
 
 #include <condition_variable>
@@ -14,14 +14,16 @@
 
 namespace copperlead {
 
-// Where actions go. Called from the shell's thread, without its lock.
+// Handlers for the agent's actions. They are called on the shell's thread; all except after_step
+// are called without holding the agent's lock.
 struct ActionSinks {
   std::function<void(const SendMessage&)> send;
   std::function<void(const FetchFromSource&)> fetch;
   std::function<void(const ActivateBundle&)> activate_bundle;
   std::function<void(const ActivateMachines&)> activate_machines;
   std::function<void(const Report&)> report;
-  // After each step that may have changed the membership view.
+  // Called after each step, while the agent is locked; the step may have changed the membership
+  // view.
   std::function<void(const Agent&)> after_step;
 };
 
@@ -32,17 +34,19 @@
   AgentShell(const AgentShell&) = delete;
   AgentShell& operator=(const AgentShell&) = delete;
 
-  // Starts driving `agent`. Events posted before are delivered now. Call once.
+  // Starts the thread, which then delivers the events that were posted earlier. Must be called
+  // once.
   void Start(std::unique_ptr<Agent> agent);
-  // Stops the thread; events not yet taken are dropped. Idempotent.
+  // Stops the thread and drops the events that are still queued. Idempotent.
   void Stop();
 
-  // Queues an event; never blocks. When kMaxQueuedEvents wait, messages are dropped (the protocol
-  // repairs losses) and other events are kept. Any thread.
+  // Queues an event without waiting for the agent. When the queue holds kMaxQueuedEvents, messages
+  // are dropped, from which the protocol recovers, and other events are still queued. May be called
+  // on any thread.
   void Post(Event event);
 
-  // Runs `reader` on the agent while no step runs. Only after Start(); any thread but the shell's
-  // own.
+  // Calls `reader` with the agent while no step is running. Must be called after Start(), on any
+  // thread other than the shell's own.
   template <class Reader>
   auto Inspect(Reader&& reader) const {
     const std::lock_guard lock(agent_mutex_);
@@ -53,7 +57,9 @@
 
  private:
   void Run();
-  // @return the next event, or TimerFired when the deadline came first; false when stopping.
+  // Waits for the next event.
+  // @param event receives the event, or TimerFired when the deadline is reached first.
+  // @return false when the shell is stopping.
   bool WaitForEvent(Timestamp deadline, Event& event);
   std::vector<Action> Step(const Event& event);
   void CarryOut(const Action& action) const;
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -20,8 +20,8 @@
 namespace copperlead {
 namespace {
 
-// Time for the announcement of leaving to reach peers before the transport stops.
-constexpr auto kFarewellTime = Milliseconds(50);
+// Delay before the transport stops, so that the announcement of leaving reaches the peers.
+constexpr auto kLeaveAnnouncementDelay = Milliseconds(50);
 
 std::int64_t WallClockMilliseconds() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -37,7 +37,8 @@
   return agent;
 }
 
-// This node's record; seconds since 1970 order its lives.
+// Returns this node's member record. Its incarnation is the start time in seconds since 1970, so
+// that a restarted node has a higher incarnation than before.
 MemberRecord SelfRecord(const NodeSettings& settings, const SocketAddress& peer_address) {
   MemberRecord record;
   record.id = settings.id;
@@ -47,7 +48,7 @@
   return record;
 }
 
-std::uint64_t RandomSeed() {
+std::uint64_t MakeRandomSeed() {
   std::random_device device;
   return (static_cast<std::uint64_t>(device()) << 32) | device();
 }
@@ -67,10 +68,10 @@
   bool DrainAndStop() override {
     router_->SetDraining();
     shell_.Post(StopRequested{});
-    const bool whole = proxy_->Drain(settings_.drain_limit);
-    std::this_thread::sleep_for(kFarewellTime);
+    const bool drained = proxy_->Drain(settings_.drain_limit);
+    std::this_thread::sleep_for(kLeaveAnnouncementDelay);
     StopAll();
-    return whole;
+    return drained;
   }
 
  private:
@@ -87,8 +88,8 @@
   const NodeSettings settings_;
   const SteadyClock clock_;
   const std::shared_ptr<RequestRouter> router_ =
-      std::make_shared<RequestRouter>(RouterSettings{}, RandomSeed());
-  RoutingFeed feed_{router_};  // Used by the shell's thread only.
+      std::make_shared<RequestRouter>(RouterSettings{}, MakeRandomSeed());
+  RoutingFeed feed_{router_};  // Used on the shell's thread only.
   AgentShell shell_;
   std::unique_ptr<Transport> transport_;
   std::unique_ptr<SourceClient> source_;
@@ -128,7 +129,7 @@
   const Timestamp now = clock_.Now();
   shell_.Start(std::make_unique<Agent>(AgentSettingsFrom(settings_, now),
                                        SelfRecord(settings_, transport_->local_address()),
-                                       settings_.peers, RandomSeed(), now));
+                                       settings_.peers, MakeRandomSeed(), now));
 }
 
 ActionSinks ComposedNode::Sinks() {
@@ -138,7 +139,7 @@
     if (source_) source_->Fetch(action);
   };
   sinks.activate_bundle = [this](const ActivateBundle& action) {
-    Log(LogLevel::kInfo, "table taken",
+    Log(LogLevel::kInfo, "routing table activated",
         {{"revision", ToString(action.bundle->version)},
          {"digest", ToHex(action.bundle->table_digest)}});
     feed_.OnBundle(clock_.Now(), action.bundle);
@@ -190,7 +191,7 @@
   return ToCsv(bundle->table);
 }
 
-// Values that the deciding code holds.
+// Copies the metrics that the agent provides.
 void CollectFromAgent(const Agent& agent, MetricValues& values) {
   const auto& ledger = agent.ledger();
   values.running_revision = ledger.running().major;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,4 +1,4 @@
-// One node, put together: agent, transport, source client, router, proxy and admin port.
+// A complete node, composed of agent, transport, source client, router, proxy and admin server.
 #pragma once
 
 #include <memory>
@@ -16,14 +16,16 @@
   virtual SocketAddress admin_address() const = 0;
   virtual SocketAddress peer_address() const = 0;
 
-  // A planned stop: tells the fleet, closes the listener, lets requests in flight finish for at
-  // most the drain limit, then stops everything. Call once.
-  // @return true when no request had to be cut.
+  // Performs a planned stop: announces to the fleet that this node leaves, closes the listener,
+  // waits up to the drain limit for requests in flight, and then stops all components. Must be
+  // called once.
+  // @return true when no request was aborted.
   virtual bool DrainAndStop() = 0;
 };
 
-// Binds every address and starts.
-// @return kAddressInUse, kUnreadableFile or kBadSetting naming the key.
+// Binds all addresses and starts the node.
+// @return the node, or the error of the component that failed to start, such as kAddressInUse,
+//         kUnreadableFile or kBadSetting.
 Result<std::unique_ptr<Node>> StartNode(const NodeSettings& settings);
 
 }  // namespace copperlead
--- a/src/node/routing_feed.h
+++ b/src/node/routing_feed.h
@@ -1,5 +1,5 @@
-// Keeps the data path's snapshot current: rebuilds it when the bundle, the machine list or the
-// shape of the fleet changes.
+// Keeps the routing snapshot of the data path up to date. It is rebuilt when the bundle, the
+// machine list or the shape of the fleet changes.
 #pragma once
 
 #include <memory>
@@ -11,14 +11,14 @@
 
 namespace copperlead {
 
-// Used by the agent shell's thread only.
+// Must be used on the agent shell's thread only.
 class RoutingFeed {
  public:
   explicit RoutingFeed(std::shared_ptr<RequestRouter> router);
 
   void OnBundle(Timestamp now, BundlePointer bundle);
   void OnMachines(Timestamp now, MachineListPointer machines);
-  // Looks at the membership view at most once per kFleetCheckInterval.
+  // Evaluates the membership view at most once per kFleetCheckInterval.
   void OnMembership(Timestamp now, const Membership& membership);
 
  private:
@@ -31,8 +31,8 @@
   std::optional<Timestamp> last_check_;
 };
 
-// A change of rank may move the subset of back ends that this node keeps connections to, so the
-// view is followed at a walk.
+// Shortest interval between evaluations of the membership view. A change of rank may change the
+// subset of back ends to which this node keeps connections, so the view is evaluated only rarely.
 inline constexpr Duration kFleetCheckInterval = std::chrono::seconds(3);
 
 }  // namespace copperlead
--- a/src/node/settings.cc
+++ b/src/node/settings.cc
@@ -17,7 +17,7 @@
 constexpr std::int64_t kMaxDrainLimitMs = 3'600'000;
 constexpr std::string_view kSourceScheme = "http://";
 
-options::options_description Describe() {
+options::options_description DescribeOptions() {
   options::options_description description("copperlead-node settings (flags or settings file)");
   const auto text = [] { return options::value<std::string>(); };
   // clang-format off
@@ -47,7 +47,7 @@
   return description;
 }
 
-// The values of all keys, after flags and file were merged.
+// The values of all keys after flags and settings file are merged.
 class Values {
  public:
   explicit Values(options::variables_map map) : map_(std::move(map)) {}
@@ -64,105 +64,107 @@
   options::variables_map map_;
 };
 
-boost::leaf::error_id Bad(const std::string& key, const std::string& value,
-                          const std::string& allowed) {
+boost::leaf::error_id BadSetting(const std::string& key, const std::string& value,
+                                 const std::string& allowed) {
   return Fail(ErrorKind::kBadSetting, key, "\"" + value + "\" is not allowed: " + allowed);
 }
 
-Result<std::string> Name(const Values& values, const std::string& key) {
+Result<std::string> ParseName(const Values& values, const std::string& key) {
   std::string value = values.Text(key);
   const bool printable = std::all_of(value.begin(), value.end(), [](unsigned char character) {
     return character > 0x20 && character < 0x7f;
   });
   if (value.empty() || value.size() > kMaxNameLength || !printable) {
-    return Bad(key, value, "1 to 200 printable ASCII characters without spaces (required)");
+    return BadSetting(key, value, "1 to 200 printable ASCII characters without spaces (required)");
   }
   return value;
 }
 
-Result<SocketAddress> AddressOf(const std::string& key, const std::string& value) {
+Result<SocketAddress> ParseAddress(const std::string& key, const std::string& value) {
   auto outcome = Resolve([&] { return ParseSocketAddress(value); });
-  if (!outcome) return Bad(key, value, "IP:PORT with a numeric IP; " + outcome.error().cause);
+  if (!outcome)
+    return BadSetting(key, value, "IP:PORT with a numeric IP; " + outcome.error().cause);
   return std::move(outcome.value());
 }
 
-Result<SocketAddress> PeerAddressOf(const std::string& key, const std::string& value) {
-  BOOST_LEAF_AUTO(address, AddressOf(key, value));
+Result<SocketAddress> ParsePeerAddress(const std::string& key, const std::string& value) {
+  BOOST_LEAF_AUTO(address, ParseAddress(key, value));
   if (address.ip == "0.0.0.0" || address.ip == "::") {
-    return Bad(key, value, "an address that other nodes can reach, not a wildcard");
+    return BadSetting(key, value, "an address that other nodes can reach, not a wildcard");
   }
   return address;
 }
 
-Result<Milliseconds> MillisecondsOf(const std::string& key, const std::string& value,
-                                    std::int64_t least, std::int64_t most) {
-  const std::string allowed =
-      "a whole number of milliseconds, " + std::to_string(least) + " to " + std::to_string(most);
+Result<Milliseconds> ParseMilliseconds(const std::string& key, const std::string& value,
+                                       std::int64_t minimum, std::int64_t maximum) {
+  const std::string allowed = "a whole number of milliseconds, " + std::to_string(minimum) +
+                              " to " + std::to_string(maximum);
   const bool digits = !value.empty() && value.size() <= 9 &&
                       value.find_first_not_of("0123456789") == std::string::npos;
-  if (!digits) return Bad(key, value, allowed);
+  if (!digits) return BadSetting(key, value, allowed);
   const std::int64_t number = std::stoll(value);
-  if (number < least || number > most) return Bad(key, value, allowed);
+  if (number < minimum || number > maximum) return BadSetting(key, value, allowed);
   return Milliseconds(number);
 }
 
-Result<std::string> OneOf(const Values& values, const std::string& key,
-                          const std::vector<std::string>& allowed) {
+Result<std::string> ParseChoice(const Values& values, const std::string& key,
+                                const std::vector<std::string>& allowed) {
   std::string value = values.Text(key);
   if (std::find(allowed.begin(), allowed.end(), value) != allowed.end()) return value;
   std::string listed;
   for (const auto& choice : allowed) listed += (listed.empty() ? "" : ", ") + choice;
-  return Bad(key, value, "one of " + listed);
+  return BadSetting(key, value, "one of " + listed);
 }
 
-Result<std::optional<SocketAddress>> SourceOf(const Values& values) {
+Result<std::optional<SocketAddress>> ParseSource(const Values& values) {
   if (!values.Has("source")) return std::optional<SocketAddress>();
   std::string value = values.Text("source");
-  if (!value.starts_with(kSourceScheme)) return Bad("source", value, "http://IP:PORT");
+  if (!value.starts_with(kSourceScheme)) return BadSetting("source", value, "http://IP:PORT");
   if (value.ends_with('/')) value.pop_back();
-  BOOST_LEAF_AUTO(address, AddressOf("source", value.substr(kSourceScheme.size())));
+  BOOST_LEAF_AUTO(address, ParseAddress("source", value.substr(kSourceScheme.size())));
   return std::optional<SocketAddress>(address);
 }
 
-Result<NodeSettings> Check(const Values& values) {
+Result<NodeSettings> ParseSettings(const Values& values) {
   NodeSettings settings;
-  BOOST_LEAF_ASSIGN(settings.id, Name(values, "id"));
-  BOOST_LEAF_ASSIGN(settings.zone, Name(values, "zone"));
-  BOOST_LEAF_ASSIGN(settings.listen, AddressOf("listen", values.Text("listen")));
-  BOOST_LEAF_ASSIGN(settings.admin, AddressOf("admin", values.Text("admin")));
-  BOOST_LEAF_ASSIGN(settings.peer_listen, PeerAddressOf("peer-listen", values.Text("peer-listen")));
+  BOOST_LEAF_ASSIGN(settings.id, ParseName(values, "id"));
+  BOOST_LEAF_ASSIGN(settings.zone, ParseName(values, "zone"));
+  BOOST_LEAF_ASSIGN(settings.listen, ParseAddress("listen", values.Text("listen")));
+  BOOST_LEAF_ASSIGN(settings.admin, ParseAddress("admin", values.Text("admin")));
+  BOOST_LEAF_ASSIGN(settings.peer_listen,
+                    ParsePeerAddress("peer-listen", values.Text("peer-listen")));
   if (values.Has("peer-advertise")) {
-    BOOST_LEAF_AUTO(advertised, PeerAddressOf("peer-advertise", values.Text("peer-advertise")));
+    BOOST_LEAF_AUTO(advertised, ParsePeerAddress("peer-advertise", values.Text("peer-advertise")));
     settings.peer_advertise = advertised;
   }
   for (const auto& peer : values.List("peer")) {
-    BOOST_LEAF_AUTO(address, PeerAddressOf("peer", peer));
+    BOOST_LEAF_AUTO(address, ParsePeerAddress("peer", peer));
     settings.peers.push_back(address);
   }
-  BOOST_LEAF_ASSIGN(settings.source, SourceOf(values));
+  BOOST_LEAF_ASSIGN(settings.source, ParseSource(values));
   if (values.Has("source-interval-ms")) {
     BOOST_LEAF_ASSIGN(settings.source_interval,
-                      MillisecondsOf("source-interval-ms", values.Text("source-interval-ms"),
-                                     kMinSourceIntervalMs, kMaxSourceIntervalMs));
+                      ParseMilliseconds("source-interval-ms", values.Text("source-interval-ms"),
+                                        kMinSourceIntervalMs, kMaxSourceIntervalMs));
   }
   settings.fleet_key_file = values.Text("fleet-key-file");
   if (settings.fleet_key_file.empty()) {
-    return Bad("fleet-key-file", "", "the name of a readable key file (required)");
+    return BadSetting("fleet-key-file", "", "the name of a readable key file (required)");
   }
-  BOOST_LEAF_AUTO(profile, OneOf(values, "profile", {"avlak", "ferraris"}));
+  BOOST_LEAF_AUTO(profile, ParseChoice(values, "profile", {"avlak", "ferraris"}));
   settings.profile = profile == "ferraris" ? Profile::kFerraris : Profile::kAvlak;
   BOOST_LEAF_ASSIGN(settings.log_level,
-                    OneOf(values, "log-level", {"debug", "info", "warning", "error"}));
-  BOOST_LEAF_ASSIGN(settings.log_format, OneOf(values, "log-format", {"json", "text"}));
+                    ParseChoice(values, "log-level", {"debug", "info", "warning", "error"}));
+  BOOST_LEAF_ASSIGN(settings.log_format, ParseChoice(values, "log-format", {"json", "text"}));
   BOOST_LEAF_ASSIGN(
       settings.drain_limit,
-      MillisecondsOf("drain-limit-ms", values.Text("drain-limit-ms"), 0, kMaxDrainLimitMs));
+      ParseMilliseconds("drain-limit-ms", values.Text("drain-limit-ms"), 0, kMaxDrainLimitMs));
   return settings;
 }
 
-// Reads flags, then the settings file for keys that no flag gave.
+// Reads the flags, then the settings file for keys that are not given as flags.
 Result<Values> ReadValues(const std::vector<std::string>& arguments) {
-  const auto description = Describe();
+  const auto description = DescribeOptions();
   options::variables_map map;
   std::string file_name;
   try {
@@ -188,11 +190,11 @@
   if (values.Has("help")) {
     parsed.help = true;
     std::ostringstream text;
-    text << Describe();
+    text << DescribeOptions();
     parsed.help_text = text.str();
     return parsed;
   }
-  BOOST_LEAF_ASSIGN(parsed.settings, Check(values));
+  BOOST_LEAF_ASSIGN(parsed.settings, ParseSettings(values));
   return parsed;
 }
 
--- a/src/node/settings.h
+++ b/src/node/settings.h
@@ -1,4 +1,5 @@
-// Settings of copperlead-node: flags and settings-file keys are the same. Checked at start.
+// Settings of copperlead-node. Command-line flags and keys of the settings file have the same
+// names. All values are checked at start.
 #pragma once
 
 #include <optional>
@@ -11,22 +12,25 @@
 
 namespace copperlead {
 
-// Which cost the intervals favour; the figures are in distribution/profiles.h.
+// Selects the cost that the protocol intervals minimise. The intervals are in
+// distribution/profiles.h.
 enum class Profile {
-  kAvlak,     // Short convergence time.
-  kFerraris,  // Few control bytes.
+  kAvlak,     // Minimises convergence time.
+  kFerraris,  // Minimises control traffic.
 };
 
 struct NodeSettings {
   std::string id;
   std::string zone;
-  SocketAddress listen;       // Callers.
-  SocketAddress admin;        // Operators.
-  SocketAddress peer_listen;  // Other nodes; UDP and TCP. Told to peers, so never a wildcard.
-  std::optional<SocketAddress> peer_advertise;  // By which others reach it; none: peer_listen.
+  SocketAddress listen;  // Address for callers.
+  SocketAddress admin;   // Address for operators.
+  // Address for other nodes, UDP and TCP. It is sent to them, so it must not be a wildcard.
+  SocketAddress peer_listen;
+  std::optional<SocketAddress> peer_advertise;  // Address sent to peers; peer_listen if absent.
   std::vector<SocketAddress> peers;
   std::optional<SocketAddress> source;
-  std::optional<Milliseconds> source_interval;  // Of one zone's reader; none: the profile's.
+  // Interval between polls of a zone's reader; the profile's value if absent.
+  std::optional<Milliseconds> source_interval;
   std::string fleet_key_file;
   std::string log_level;
   std::string log_format;
@@ -34,17 +38,17 @@
   Profile profile = Profile::kAvlak;
 };
 
-// What the command line asked for.
+// The result of parsing the command line.
 struct ParsedCommandLine {
   NodeSettings settings;
   bool help = false;
   std::string help_text;
 };
 
-// Reads flags and the file named by --settings (flags win); checks every value.
-// @param arguments without the program's name.
-// @return kBadSetting (kUnreadableFile for the settings file) whose place is the key and whose
-//         cause names the value and what is allowed.
+// Reads the flags and the file named by --settings and checks every value. Flags take precedence.
+// @param arguments the command line without the program's name.
+// @return the settings; kBadSetting with the key as place and the value and the allowed values as
+//         cause; kUnreadableFile for a settings file that cannot be opened.
 Result<ParsedCommandLine> ParseNodeSettings(const std::vector<std::string>& arguments);
 
 }  // namespace copperlead
--- a/tests/node/settings_test.cc
+++ b/tests/node/settings_test.cc
@@ -8,7 +8,7 @@
 namespace copperlead {
 namespace {
 
-std::vector<std::string> GoodArguments() {
+std::vector<std::string> ValidArguments() {
   return {"--id=node-1",
           "--zone=ank-a",
           "--listen=127.0.0.1:0",
@@ -18,7 +18,7 @@
 }
 
 TEST(NodeSettingsTest, ReadsFlagsAndDefaults) {
-  auto arguments = GoodArguments();
+  auto arguments = ValidArguments();
   arguments.insert(arguments.end(), {"--peer=127.0.0.1:7001", "--peer=127.0.0.1:7002",
                                      "--source=http://127.0.0.1:9000/"});
   const auto outcome = Resolve([&] { return ParseNodeSettings(arguments); });
@@ -30,13 +30,14 @@
   EXPECT_EQ(settings.drain_limit, Milliseconds(30000));
 }
 
-// A setting that is refused: the argument that replaces or follows the good ones.
+// A setting that must be rejected. It replaces the valid argument for the key, or is added to the
+// valid arguments.
 struct BadCase {
   const char* key;
   const char* value;
 };
 
-TEST(NodeSettingsTest, NamesKeyValueAndWhatIsAllowed) {
+TEST(NodeSettingsTest, ErrorsNameKeyValueAndAllowedValues) {
   const BadCase cases[] = {
       {"id", ""},
       {"id", "a b"},
@@ -60,7 +61,7 @@
   for (const auto& bad : cases) {
     std::vector<std::string> arguments;
     const std::string flag = "--" + std::string(bad.key) + "=";
-    for (const auto& argument : GoodArguments()) {
+    for (const auto& argument : ValidArguments()) {
       if (!argument.starts_with(flag)) arguments.push_back(argument);
     }
     if (*bad.value != '\0') arguments.push_back(flag + bad.value);
@@ -72,12 +73,12 @@
   }
 }
 
-TEST(NodeSettingsTest, RefusesUnknownKeysAndUnreadableFiles) {
-  auto unknown = GoodArguments();
+TEST(NodeSettingsTest, RejectsUnknownKeysAndUnreadableFiles) {
+  auto unknown = ValidArguments();
   unknown.push_back("--colour=red");
   EXPECT_EQ(Resolve([&] { return ParseNodeSettings(unknown); }).error().kind,
             ErrorKind::kBadSetting);
-  auto unreadable = GoodArguments();
+  auto unreadable = ValidArguments();
   unreadable.push_back("--settings=/nonexistent/file");
   EXPECT_EQ(Resolve([&] { return ParseNodeSettings(unreadable); }).error().kind,
             ErrorKind::kUnreadableFile);
