--- a/src/proxy/connection_registry.cc
+++ b/src/proxy/connection_registry.cc
@@ -38,8 +38,8 @@
   return entries_.size();
 }
 
-bool ConnectionRegistry::EvictWaiting(Duration least_wait) {
-  const Timestamp latest = Now() - least_wait;
+bool ConnectionRegistry::EvictLongestWaiting(Duration min_wait) {
+  const Timestamp latest = Now() - min_wait;
   const std::lock_guard lock(mutex_);
   Entry* longest = nullptr;
   for (Entry* const entry : entries_) {
@@ -52,7 +52,7 @@
   return true;
 }
 
-std::size_t ConnectionRegistry::CutAll() {
+std::size_t ConnectionRegistry::ShutDownAll() {
   const std::lock_guard lock(mutex_);
   std::size_t in_flight = 0;
   for (Entry* const entry : entries_) {
--- a/src/proxy/connection_registry.h
+++ b/src/proxy/connection_registry.h
@@ -1,4 +1,5 @@
-// The callers' open connections: which of them wait for a request, and which have one in flight.
+// The callers' open connections. Records which of them wait for a request and which have one in
+// flight.
 #pragma once
 
 #include <cstddef>
@@ -13,17 +14,18 @@
 // Thread-safe.
 class ConnectionRegistry {
  public:
-  // One connection; registered while it lives, which must end before the descriptor is closed.
+  // Registers one connection for the lifetime of the entry. Must be destroyed before the descriptor
+  // is closed.
   class Entry {
    public:
     Entry(ConnectionRegistry& registry, int fd);
     ~Entry();
     Entry(const Entry&) = delete;
     Entry& operator=(const Entry&) = delete;
-    // A request has begun.
-    // @return false when the connection was given up meanwhile.
+    // Marks the start of a request.
+    // @return false when the connection was evicted in the meantime.
     bool BeginRequest();
-    // The connection waits for its next request.
+    // Marks the end of a request: the connection waits for the next one.
     void EndRequest();
 
    private:
@@ -37,14 +39,14 @@
   };
 
   std::size_t size() const;
-  // Gives up the connection that has waited longest for a request (or for the rest of its head), if
-  // that is at least `least_wait`. @return false when there is none.
-  bool EvictWaiting(Duration least_wait);
-  // Ends both directions of every connection. @return how many had a request in flight.
-  std::size_t CutAll();
+  // Shuts down the connection that has waited longest for a request (or for the rest of its head),
+  // provided that it has waited for at least `min_wait`. @return false when there is none.
+  bool EvictLongestWaiting(Duration min_wait);
+  // Shuts down both directions of every connection. @return how many had a request in flight.
+  std::size_t ShutDownAll();
 
  private:
-  mutable std::mutex mutex_;  // Guards what follows and the entries' state.
+  mutable std::mutex mutex_;  // Guards the members below and the state of the entries.
   std::unordered_set<Entry*> entries_;
 };
 
--- a/src/proxy/connection_threads.cc
+++ b/src/proxy/connection_threads.cc
@@ -11,9 +11,9 @@
 namespace copperlead {
 namespace {
 
-constexpr std::size_t kStackBytes =
-    std::size_t{256} * 1024;  // Reserved; only touched pages are resident.
-constexpr std::chrono::seconds kIdleLimit{10};
+// Reserved address space; a page becomes resident when it is first touched.
+constexpr std::size_t kStackBytes = std::size_t{256} * 1024;
+constexpr std::chrono::seconds kIdleThreadTimeout{10};
 constexpr std::size_t kSpareThreads = 16;
 
 void RunGuarded(const ConnectionThreads::Job& job) {
@@ -38,10 +38,10 @@
   thread_ended_.wait(lock, [this] { return threads_ == 0; });
 }
 
-bool ConnectionThreads::Run(const Job& job, bool beyond_limit) {
+bool ConnectionThreads::Run(const Job& job, bool allow_one_extra) {
   const std::lock_guard lock(mutex_);
   if (idle_threads_ <= jobs_.size()) {
-    const std::size_t limit = max_threads_ + (beyond_limit ? 1 : 0);
+    const std::size_t limit = max_threads_ + (allow_one_extra ? 1 : 0);
     if (threads_ >= limit || !StartThread()) return false;
   }
   jobs_.push_back(job);
@@ -56,14 +56,14 @@
                              [this] { return jobs_.empty() && idle_threads_ == threads_; });
 }
 
-// The lock is held.
+// The caller holds the lock.
 void ConnectionThreads::StartSpareThreads() {
   while (idle_threads_ < jobs_.size() + kSpareThreads && threads_ < max_threads_) {
     if (!StartThread()) return;
   }
 }
 
-// The lock is held. The new thread counts as idle until it takes a job.
+// The caller holds the lock. The new thread counts as idle until it takes a job.
 bool ConnectionThreads::StartThread() {
   pthread_attr_t attributes;
   pthread_attr_init(&attributes);
@@ -86,10 +86,10 @@
 void ConnectionThreads::Work() {
   std::unique_lock lock(mutex_);
   for (;;) {
-    const bool woken =
-        job_added_.wait_for(lock, kIdleLimit, [this] { return stopping_ || !jobs_.empty(); });
+    const bool notified = job_added_.wait_for(lock, kIdleThreadTimeout,
+                                              [this] { return stopping_ || !jobs_.empty(); });
     if (jobs_.empty()) {
-      const bool spare = !woken && idle_threads_ <= kSpareThreads;
+      const bool spare = !notified && idle_threads_ <= kSpareThreads;
       if (spare && !stopping_) continue;
       break;
     }
@@ -106,7 +106,7 @@
   --idle_threads_;
   --threads_;
   if (idle_threads_ == threads_) job_ended_.notify_all();
-  // Under the lock: the object may be gone as soon as it is released.
+  // Notifies under the lock: the object may be destroyed as soon as the lock is released.
   thread_ended_.notify_all();
 }
 
--- a/src/proxy/connection_threads.h
+++ b/src/proxy/connection_threads.h
@@ -1,6 +1,7 @@
-// Threads on demand: one for each open connection, kept for a while for the next one. Some wait
-// ahead of need, as the system may let a thread that was just started wait for a core. Stacks are
-// small, as a node holds a thousand of them.
+// A thread pool with one thread for each open connection. A thread whose connection has ended is
+// kept for some time for the next one. Some spare threads are started in advance, because the
+// system may make a newly started thread wait for a core. Stacks are small, because a node may run
+// about a thousand threads.
 #pragma once
 
 #include <condition_variable>
@@ -19,16 +20,17 @@
   using Job = std::function<void()>;
 
   explicit ConnectionThreads(std::size_t max_threads);
-  // Waits for all jobs to end.
+  // Waits until all jobs have ended.
   ~ConnectionThreads();
   ConnectionThreads(const ConnectionThreads&) = delete;
   ConnectionThreads& operator=(const ConnectionThreads&) = delete;
 
   // Runs `job` in a thread of its own.
-  // @param beyond_limit one more thread than the limit may run for it.
-  // @return false when all threads are busy or the system gives no more; `job` was not run then.
-  bool Run(const Job& job, bool beyond_limit = false);
-  // Waits until every job has ended. @return false when `limit` passed before.
+  // @param allow_one_extra true: the job may start one thread more than the limit.
+  // @return false when all threads are busy or the system cannot start another; `job` is not run
+  //         then.
+  bool Run(const Job& job, bool allow_one_extra = false);
+  // Waits until every job has ended. @return false when `limit` passes first.
   bool WaitUntilIdle(Duration limit);
 
  private:
@@ -38,7 +40,7 @@
   void StartSpareThreads();
 
   const std::size_t max_threads_;
-  std::mutex mutex_;  // Guards what follows.
+  std::mutex mutex_;  // Guards the members below.
   std::condition_variable job_added_;
   std::condition_variable thread_ended_;
   std::condition_variable job_ended_;
--- a/src/proxy/lingering_closer.cc
+++ b/src/proxy/lingering_closer.cc
@@ -10,17 +10,18 @@
 namespace copperlead {
 namespace {
 
-constexpr std::size_t kDropBytes = std::size_t{16} * 1024;
-constexpr std::chrono::milliseconds kRound{20};  // Between looks at the lingering sockets.
+constexpr std::size_t kDiscardBufferBytes = std::size_t{16} * 1024;
+// Time between two passes over the lingering sockets.
+constexpr std::chrono::milliseconds kPollInterval{20};
 
 Timestamp Now() { return SteadyClock().Now(); }
 
-// Drops what the peer has sent. @return true when the peer has closed or failed.
-bool DropInput(int fd) {
-  constexpr int kMaxReads = 16;  // Of one round, so that no peer holds up the others.
-  std::array<char, kDropBytes> dropped;
+// Discards what the peer has sent. @return true when the peer has closed or the socket has failed.
+bool DiscardInput(int fd) {
+  constexpr int kMaxReads = 16;  // Per pass, so that no peer delays the others.
+  std::array<char, kDiscardBufferBytes> discarded;
   for (int reads = 0; reads < kMaxReads; ++reads) {
-    const ssize_t count = recv(fd, dropped.data(), dropped.size(), MSG_DONTWAIT);
+    const ssize_t count = recv(fd, discarded.data(), discarded.size(), MSG_DONTWAIT);
     if (count == 0) return true;
     if (count < 0) return errno != EAGAIN && errno != EINTR;
   }
@@ -42,7 +43,7 @@
 
 void LingeringCloser::Close(int fd) {
   shutdown(fd, SHUT_WR);
-  if (DropInput(fd)) {
+  if (DiscardInput(fd)) {
     close(fd);
     return;
   }
@@ -52,7 +53,7 @@
     return;
   }
   ++lingering_;
-  added_.push_back({fd, Now() + kLinger});
+  added_.push_back({fd, Now() + kLingerTime});
   changed_.notify_all();
 }
 
@@ -63,7 +64,7 @@
     if (sockets.empty()) {
       changed_.wait(lock, [this] { return stopping_ || !added_.empty(); });
     } else {
-      changed_.wait_for(lock, kRound, [this] { return stopping_; });
+      changed_.wait_for(lock, kPollInterval, [this] { return stopping_; });
     }
     sockets.insert(sockets.end(), added_.begin(), added_.end());
     added_.clear();
@@ -71,7 +72,7 @@
     lock.unlock();
     const Timestamp now = Now();
     const auto closed = std::erase_if(sockets, [&](const Lingering& socket) {
-      if (!stopping && socket.end > now && !DropInput(socket.fd)) return false;
+      if (!stopping && socket.end > now && !DiscardInput(socket.fd)) return false;
       close(socket.fd);
       return true;
     });
--- a/src/proxy/lingering_closer.h
+++ b/src/proxy/lingering_closer.h
@@ -1,6 +1,6 @@
-// Closes connections whose peer may still be sending. Closing at once would make the system send a
-// reset, which can destroy an answer the peer has not read yet; so the sending side is closed first
-// and what comes is dropped for a while.
+// Closes connections whose peer may still be sending. An immediate close would make the system send
+// a reset, which can destroy a response that the peer has not read yet. Therefore the sending side
+// is shut down first, and input is discarded for a limited time before the socket is closed.
 #pragma once
 
 #include <condition_variable>
@@ -13,20 +13,20 @@
 
 namespace copperlead {
 
-// Thread-safe; one thread of its own.
+// Thread-safe. Runs one background thread.
 class LingeringCloser {
  public:
   LingeringCloser();
-  // Closes all at once.
+  // Closes all lingering sockets without further delay.
   ~LingeringCloser();
   LingeringCloser(const LingeringCloser&) = delete;
   LingeringCloser& operator=(const LingeringCloser&) = delete;
 
-  // Takes over a non-blocking socket.
+  // Takes ownership of a non-blocking socket.
   void Close(int fd);
 
-  static constexpr Duration kLinger = std::chrono::seconds(1);
-  static constexpr std::size_t kMaxLingering = 512;  // Beyond it, sockets are closed at once.
+  static constexpr Duration kLingerTime = std::chrono::seconds(1);
+  static constexpr std::size_t kMaxLingering = 512;  // Further sockets are closed immediately.
 
  private:
   struct Lingering {
@@ -36,7 +36,7 @@
 
   void Work();
 
-  std::mutex mutex_;  // Guards what follows.
+  std::mutex mutex_;  // Guards the members below.
   std::condition_variable changed_;
   std::vector<Lingering> added_;
   std::size_t lingering_ = 0;
--- a/src/proxy/proxy_server.cc
+++ b/src/proxy/proxy_server.cc
@@ -21,15 +21,18 @@
 namespace copperlead {
 namespace {
 
-constexpr int kListenBacklog = 1024;  // The library asks for 5, which drops a storm's connections.
+// The library's own backlog, 5, loses connections when many arrive together.
+constexpr int kListenBacklog = 1024;
 constexpr int kStopCheckMicroseconds = 100'000;
-constexpr Duration kCutRound = std::chrono::milliseconds(100);  // Between looks after a cut.
-constexpr Duration kEvictableWait = std::chrono::seconds(1);
+// Time between repeated shutdowns of connections after the drain limit.
+constexpr Duration kForcedCloseInterval = std::chrono::milliseconds(100);
+constexpr Duration kMinEvictionWait = std::chrono::seconds(1);
 
-// Set in the accepting thread while it runs a connection that no thread is left for.
-thread_local bool refusing_connection = false;
+// Set in the accepting thread while it handles a connection for which no thread is available.
+thread_local bool reject_connection = false;
 
-// A node holds two descriptors a request; the usual soft limit of 1,024 is too low for that.
+// Raises the soft limit of descriptors to the hard limit. A node uses two descriptors for each
+// request, for which the usual soft limit of 1,024 is too low.
 void RaiseDescriptorLimit() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -37,14 +40,14 @@
   setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-// The library's listener; connections are served by the shell's own code.
+// Uses only the listener of cpp-httplib; ServeConnection() serves the connections.
 class Listener : public httplib::Server {
  public:
   using Handler = std::function<void(int fd)>;
 
   explicit Listener(Handler handler) : handler_(std::move(handler)) {
     set_socket_options([this](socket_t fd) {
-      // Not SO_REUSEPORT, the library's default: it would hide that the address is in use.
+      // The library's default, SO_REUSEPORT, would hide that the address is in use.
       const int on = 1;
       setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
       bound_fd_ = fd;
@@ -64,8 +67,8 @@
     return port;
   }
 
-  // Accepts until StopAccepting(). The library gives up on errors that pass (ECONNABORTED among
-  // them), and closes its descriptor then; so it gets a copy and is started again.
+  // Accepts until StopAccepting(). The library stops on transient errors (ECONNABORTED among them)
+  // and closes its descriptor. Therefore it gets a duplicate and is restarted.
   void Accept() {
     while (!stopping_) {
       svr_sock_ = dup(bound_fd_);
@@ -76,14 +79,15 @@
     if (left >= 0) close(left);
   }
 
-  // Accept() returns soon after; connections that wait in the backlog stay there.
+  // Makes Accept() return shortly afterwards. Connections in the backlog stay there.
   void StopAccepting() {
     stopping_ = true;
     const int fd = svr_sock_.exchange(INVALID_SOCKET);
     if (fd >= 0) stopped_fd_ = fd;
   }
 
-  // Serves what is left in the backlog and closes the listening socket. After Accept().
+  // Serves the connections left in the backlog and closes the listening socket. Call it after
+  // Accept() has returned.
   void CloseListener(const Handler& serve) {
     fcntl(bound_fd_, F_SETFL, fcntl(bound_fd_, F_GETFL, 0) | O_NONBLOCK);
     for (;;) {
@@ -107,20 +111,20 @@
   std::atomic<bool> stopping_ = false;
 };
 
-// Hands the library's connections to the shell's threads.
+// Passes the connections that the library accepts to ConnectionThreads.
 class ConnectionQueue : public httplib::TaskQueue {
  public:
   ConnectionQueue(std::function<void(const std::function<void()>&)> run,
-                  std::function<void()> on_quiet)
-      : run_(std::move(run)), on_quiet_(std::move(on_quiet)) {}
+                  std::function<void()> on_idle_callback)
+      : run_(std::move(run)), on_idle_callback_(std::move(on_idle_callback)) {}
 
   void enqueue(std::function<void()> job) override { run_(job); }
   void shutdown() override {}
-  void on_idle() override { on_quiet_(); }
+  void on_idle() override { on_idle_callback_(); }
 
  private:
   std::function<void(const std::function<void()>&)> run_;
-  std::function<void()> on_quiet_;
+  std::function<void()> on_idle_callback_;
 };
 
 class HttplibProxyServer : public ProxyServer {
@@ -167,32 +171,34 @@
     eventfd_write(drain_fd_, 1);
     const Duration left = std::max(end - SteadyClock().Now(), Duration::zero());
     const bool ended = threads_.WaitUntilIdle(left);
-    const std::size_t cut = ended ? 0 : registry_.CutAll();
-    if (cut > 0) LogError(LogLevel::kWarning, ErrorKind::kDraining, "proxy", "requests were cut");
-    while (!threads_.WaitUntilIdle(kCutRound)) registry_.CutAll();
+    const std::size_t aborted = ended ? 0 : registry_.ShutDownAll();
+    if (aborted > 0)
+      LogError(LogLevel::kWarning, ErrorKind::kDraining, "proxy",
+               "drain limit reached; requests in flight aborted");
+    while (!threads_.WaitUntilIdle(kForcedCloseInterval)) registry_.ShutDownAll();
     context_.pool.CloseIdle();
-    return cut == 0;
+    return aborted == 0;
   }
 
  private:
   ConnectionServices services() { return {context_, registry_, closer_, drain_fd_}; }
 
   void Serve(int fd) {
-    if (refusing_connection) {
+    if (reject_connection) {
       RefuseConnection(services(), fd);
     } else {
       ServeConnection(services(), fd);
     }
   }
 
-  // Runs a connection in a thread, or refuses it in the calling one.
+  // Runs a connection in a pool thread, or refuses it in the calling thread.
   void Run(const ConnectionThreads::Job& job) {
     context_.pool.CloseExpired(SteadyClock().Now());
     if (threads_.Run(job)) return;
-    if (registry_.EvictWaiting(kEvictableWait) && threads_.Run(job, true)) return;
-    refusing_connection = true;
+    if (registry_.EvictLongestWaiting(kMinEvictionWait) && threads_.Run(job, true)) return;
+    reject_connection = true;
     job();
-    refusing_connection = false;
+    reject_connection = false;
   }
 
   ProxyContext context_;
@@ -203,7 +209,7 @@
   Listener listener_;
   std::thread accepting_;
   std::mutex drain_mutex_;
-  ConnectionThreads threads_;  // Ends first: its threads use all of the above.
+  ConnectionThreads threads_;  // Destroyed first: its threads use all members above.
 };
 
 }  // namespace
--- a/src/proxy/proxy_server.h
+++ b/src/proxy/proxy_server.h
@@ -1,5 +1,5 @@
-// The HTTP shell between callers and back ends. Streams both ways with bounded memory; every
-// decision is RequestRouter's.
+// The HTTP proxy between callers and back ends. Streams bodies in both directions with bounded
+// memory. RequestRouter makes every routing decision.
 #pragma once
 
 #include <cstddef>
@@ -15,18 +15,18 @@
 
 struct ProxySettings {
   SocketAddress listen;
-  std::size_t max_connections = 1100;  // One thread each; further callers get 503 at once.
-  Duration header_timeout = std::chrono::seconds(10);  // For a whole request head.
-  Duration idle_timeout = std::chrono::seconds(30);    // Between requests of one connection.
-  Duration connect_timeout = std::chrono::seconds(1);  // To a back end.
-  std::size_t buffer_limit = std::size_t{64} * 1024;   // Largest body held whole, in bytes.
+  std::size_t max_connections = 1100;  // One thread each; further callers get 503 immediately.
+  Duration header_timeout = std::chrono::seconds(10);  // Limit for a complete request head.
+  Duration idle_timeout = std::chrono::seconds(30);    // Limit between requests of one connection.
+  Duration connect_timeout = std::chrono::seconds(1);  // Limit for a connection to a back end.
+  std::size_t buffer_limit = std::size_t{64} * 1024;   // Largest body held in memory, in bytes.
 };
 
-// Latency and traffic of the data path, for metrics; any thread.
+// Counters of the data path, for metrics.
 struct ProxyCounters {
-  std::uint64_t connections = 0;           // Open now.
-  std::uint64_t answered = 0;              // Requests answered, by back ends or by the node.
-  std::uint64_t upstream_connections = 0;  // Open or pooled now.
+  std::uint64_t connections = 0;           // Currently open.
+  std::uint64_t answered = 0;              // Requests answered, by back ends or by this node.
+  std::uint64_t upstream_connections = 0;  // Currently in use or pooled.
 };
 
 class ProxyServer {
@@ -34,12 +34,12 @@
   virtual ~ProxyServer() = default;
   virtual SocketAddress local_address() const = 0;
   virtual ProxyCounters counters() const = 0;
-  // Closes the listener, lets requests in flight finish for at most `limit`, then closes all.
-  // @return true when nothing had to be cut.
+  // Closes the listener, waits up to `limit` for requests in flight, then closes every connection.
+  // @return true when no request in flight was interrupted.
   virtual bool Drain(Duration limit) = 0;
 };
 
-// Binds and serves. @return kAddressInUse naming the address.
+// Binds the address and starts to serve. @return kAddressInUse with the address when that fails.
 Result<std::unique_ptr<ProxyServer>> StartProxyServer(const ProxySettings& settings,
                                                       std::shared_ptr<RequestRouter> router);
 
--- a/src/proxy/start_proxy_server.h
+++ b/src/proxy/start_proxy_server.h
@@ -1,4 +1,4 @@
-// Starts the server with any decider: the seam between the shell and routing.
+// Starts the server with any RequestDecider, which separates the HTTP proxy from the routing layer.
 #pragma once
 
 #include <memory>
@@ -8,7 +8,7 @@
 
 namespace copperlead {
 
-// As StartProxyServer(), for tests with scripted sessions.
+// Does the same as StartProxyServer() with a given decider. Tests use it with scripted sessions.
 Result<std::unique_ptr<ProxyServer>> StartProxyServerWith(const ProxySettings& settings,
                                                           RequestDecider decider);
 
