--- a/tests/proxy/bad_caller_test.cc
+++ b/tests/proxy/bad_caller_test.cc
@@ -1,4 +1,5 @@
-// Callers that break the rules: a clear 4xx, never a way round the routes, and never every thread.
+// Tests callers that violate the protocol: they get a 4xx, cannot bypass the routes and cannot
+// occupy every thread.
 #include <future>
 #include <vector>
 
@@ -63,7 +64,7 @@
   RawServer backend(Answering([](const RawMessage&) { return Ok("reached"); }));
   StartProxy({{backend.address()}});
   for (const auto& row : kCases) {
-    RawSocket caller = Call();
+    RawSocket caller = Connect();
     caller.Send(row.request);
     const RawMessage answer = caller.Read();
     EXPECT_EQ(answer.status(), row.status) << row.name;
@@ -79,7 +80,7 @@
   const char* chunks;
 };
 
-TEST_F(ProxyTest, NeverEndsABadlyChunkedUpload) {
+TEST_F(ProxyTest, NeverCompletesAMalformedChunkedUpload) {
   const BadBodyCase kCases[] = {
       {"no size", "4\r\ngood\r\nzz\r\n"},
       {"negative size", "4\r\ngood\r\n-1\r\nx\r\n0\r\n\r\n"},
@@ -94,8 +95,8 @@
     RawServer backend([&](RawSocket& socket, int) { cut += socket.Read().whole ? 0 : 1; });
     StartProxy({{backend.address()}});
     const RawMessage answer =
-        Ask("PUT / HTTP/1.1\r\nHost: test\r\nTransfer-Encoding: chunked\r\n\r\n" +
-            std::string(row.chunks));
+        SendRequest("PUT / HTTP/1.1\r\nHost: test\r\nTransfer-Encoding: chunked\r\n\r\n" +
+                    std::string(row.chunks));
     EXPECT_EQ(answer.status(), 400);
     EXPECT_EQ(answer.Header("copperlead-outcome"), "unknown") << "a part was sent";
     EXPECT_TRUE(Eventually([&] { return cut == 1; })) << "the back end saw no end of the body";
@@ -105,8 +106,8 @@
 
 struct TargetCase {
   const char* target;
-  const char* path;      // As routed.
-  const char* upstream;  // As sent on.
+  const char* path;      // Path given to routing.
+  const char* upstream;  // Target sent to the back end.
   const char* host;
 };
 
@@ -125,7 +126,7 @@
   }));
   StartProxy({{backend.address()}});
   for (const auto& row : kCases) {
-    EXPECT_EQ(Ask(Get(row.target)).status(), 200) << row.target;
+    EXPECT_EQ(SendRequest(Get(row.target)).status(), 200) << row.target;
     EXPECT_EQ(record_->last_facts().path, row.path) << row.target;
     EXPECT_EQ(seen.head.substr(0, seen.head.find("\r\n")),
               "GET " + std::string(row.upstream) + " HTTP/1.1");
@@ -138,7 +139,7 @@
   StartProxy({{RefusingAddress()}});
   for (const std::string start : {"GET / HTTP/1.1\r\nHost: te",
                                   "PUT / HTTP/1.1\r\nHost: test\r\nContent-Length: 9\r\n\r\n12"}) {
-    RawSocket caller = Call();
+    RawSocket caller = Connect();
     std::thread dribble([&] {
       while (caller.Send("3")) std::this_thread::sleep_for(std::chrono::milliseconds(100));
     });
@@ -153,50 +154,50 @@
   RawServer backend([](RawSocket& socket, int) { socket.AwaitClosed(); });
   StartProxy({{backend.address()}});
   const RawMessage answer =
-      Ask("PUT / HTTP/1.1\r\nHost: test\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nha");
+      SendRequest("PUT / HTTP/1.1\r\nHost: test\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nha");
   EXPECT_EQ(answer.status(), 400);
   EXPECT_EQ(answer.Header("copperlead-outcome"), "unknown");
 }
 
-TEST_F(ProxyTest, RefusesAtOnceBeyondItsConnections) {
-  std::promise<void> go;
-  auto gone = go.get_future().share();
+TEST_F(ProxyTest, RefusesConnectionsBeyondTheLimitImmediately) {
+  std::promise<void> release;
+  auto released = release.get_future().share();
   RawServer backend([&](RawSocket& socket, int) {
     socket.Read();
-    gone.wait();
+    released.wait();
     socket.Send(Ok(""));
   });
   settings_.max_connections = 4;
   StartProxy({{backend.address()}});
   std::vector<RawSocket> busy;
   for (int caller = 0; caller < 4; ++caller) {
-    busy.push_back(Call());
+    busy.push_back(Connect());
     busy.back().Send(Get("/"));
   }
   EXPECT_TRUE(Eventually([&] { return backend.connections() == 4; }));
-  const RawMessage answer = Ask(Get("/"));
+  const RawMessage answer = SendRequest(Get("/"));
   EXPECT_EQ(answer.status(), 503);
   EXPECT_EQ(answer.Header("retry-after"), "1");
   EXPECT_EQ(answer.Header("copperlead-outcome"), "not-run");
-  go.set_value();
+  release.set_value();
   for (auto& caller : busy) EXPECT_EQ(caller.Read().status(), 200);
 }
 
-TEST_F(ProxyTest, IdleAndSlowCallersGiveWayToNewOnes) {
+TEST_F(ProxyTest, EvictsIdleAndSlowCallersForNewOnes) {
   RawServer backend(Answering([](const RawMessage&) { return Ok(""); }));
   settings_.max_connections = 4;
   settings_.header_timeout = settings_.idle_timeout = std::chrono::minutes(5);
   StartProxy({{backend.address()}});
   std::vector<RawSocket> waiting;
   for (int caller = 0; caller < 4; ++caller) {
-    waiting.push_back(Call());
+    waiting.push_back(Connect());
     if (caller % 2 == 0) waiting.back().Send("GET / HT");
   }
   for (int caller = 0; caller < 8; ++caller) {
-    RawSocket fresh = Call();
+    RawSocket fresh = Connect();
     int status = 0;
     EXPECT_TRUE(Eventually([&] {
-      fresh = Call();
+      fresh = Connect();
       fresh.Send(Get("/"));
       status = fresh.Read().status();
       return status == 200;
@@ -205,11 +206,11 @@
   }
 }
 
-TEST_F(ProxyTest, AStormOfConnectionsLosesNone) {
+TEST_F(ProxyTest, ServesAllOfManySimultaneousConnections) {
   RawServer backend(Answering([](const RawMessage&) { return Ok(""); }));
   StartProxy({{backend.address()}});
   std::vector<RawSocket> callers;
-  for (int caller = 0; caller < 300; ++caller) callers.push_back(Call());
+  for (int caller = 0; caller < 300; ++caller) callers.push_back(Connect());
   for (const auto& caller : callers) EXPECT_TRUE(caller.Send(Get("/")));
   for (auto& caller : callers) EXPECT_EQ(caller.Read().status(), 200);
 }
--- a/tests/proxy/drain_test.cc
+++ b/tests/proxy/drain_test.cc
@@ -1,4 +1,5 @@
-// A planned stop cuts nothing in flight; large bodies pass with bounded memory.
+// Tests that a planned stop interrupts no request in flight, and that large bodies pass with
+// bounded memory.
 #include <algorithm>
 #include <cstdio>
 #include <future>
@@ -10,35 +11,35 @@
 namespace {
 
 TEST_F(ProxyTest, DrainFinishesUploadsDownloadsAndLookupsInFlight) {
-  std::promise<void> go;
-  auto gone = go.get_future().share();
+  std::promise<void> release;
+  auto released = release.get_future().share();
   RawServer backend([&](RawSocket& socket, int) {
     const RawMessage request = socket.Read();
     if (request.head.find("/download") != std::string::npos) {
       socket.Send("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nhalf");
-      gone.wait();
+      released.wait();
       socket.Send("half");
     } else {
-      gone.wait();
+      released.wait();
       socket.Send(Ok(request.body));
     }
     socket.AwaitClosed();
   });
   StartProxy({{backend.address()}});
-  RawSocket idle = Call();
-  RawSocket lookup = Call();
+  RawSocket idle = Connect();
+  RawSocket lookup = Connect();
   lookup.Send(Get("/lookup"));
-  RawSocket download = Call();
+  RawSocket download = Connect();
   download.Send(Get("/download"));
-  RawSocket upload = Call();
+  RawSocket upload = Connect();
   upload.Send("PUT / HTTP/1.1\r\nHost: test\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n");
   EXPECT_TRUE(Eventually([&] { return backend.connections() == 3; }));
   auto drained =
       std::async(std::launch::async, [&] { return proxy_->Drain(std::chrono::seconds(20)); });
   EXPECT_TRUE(idle.AwaitClosed());
-  EXPECT_EQ(Ask(Get("/")).status(), 0) << "the listener is closed";
+  EXPECT_EQ(SendRequest(Get("/")).status(), 0) << "the listener is closed";
   upload.Send("4\r\nhalf\r\n0\r\n\r\n");
-  go.set_value();
+  release.set_value();
   const RawMessage lookup_answer = lookup.Read();
   EXPECT_EQ(lookup_answer.status(), 200);
   EXPECT_EQ(lookup_answer.Header("connection"), "close");
@@ -49,19 +50,19 @@
   EXPECT_EQ(proxy_->counters().upstream_connections, 0U);
 }
 
-TEST_F(ProxyTest, DrainCutsVisiblyWhatOutlastsTheLimit) {
+TEST_F(ProxyTest, DrainAbortsVisiblyWhatOutlastsTheLimit) {
   RawServer backend([&](RawSocket& socket, int) {
     socket.Read();
     socket.Send("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nhalf");
     socket.AwaitClosed();
   });
   StartProxy({{backend.address()}});
-  RawSocket download = Call();
+  RawSocket download = Connect();
   download.Send(Get("/"));
-  EXPECT_TRUE(Eventually([&] { return record_->Holds("answer:200"); }));
+  EXPECT_TRUE(Eventually([&] { return record_->Contains("answer:200"); }));
   EXPECT_FALSE(proxy_->Drain(std::chrono::milliseconds(200)));
   EXPECT_FALSE(download.Read().whole);
-  EXPECT_TRUE(record_->Holds("finished:cut"));
+  EXPECT_TRUE(record_->Contains("finished:cut"));
 }
 
 TEST_F(ProxyTest, DrainServesWhatWaitsInTheBacklog) {
@@ -69,7 +70,7 @@
   StartProxy({{backend.address()}});
   std::vector<RawSocket> callers;
   for (int caller = 0; caller < 200; ++caller) {
-    callers.push_back(Call());
+    callers.push_back(Connect());
     callers.back().Send(Get("/"));
   }
   EXPECT_TRUE(proxy_->Drain(std::chrono::seconds(20)));
@@ -85,10 +86,10 @@
   return resident * 4096;
 }
 
-// The caller and the back end of this test live in the same process and hold little themselves.
+// The caller and the back end run in the measured process too, and hold little memory themselves.
 TEST_F(ProxyTest, LargeBodiesPassWithBoundedMemory) {
   constexpr std::size_t kBytes = 300'000'000;
-  constexpr std::size_t kMostGrowth = 16'000'000;
+  constexpr std::size_t kMaxGrowth = 16'000'000;
   const std::string piece(100'000, 'x');
   RawServer backend([&](RawSocket& socket, int) {
     std::size_t read = 0;
@@ -98,22 +99,22 @@
     socket.AwaitClosed();
   });
   StartProxy({{backend.address()}});
-  RawSocket caller = Call();
+  RawSocket caller = Connect();
   const std::size_t before = ResidentBytes();
-  std::size_t most = 0;
+  std::size_t peak = 0;
   caller.Send("PUT / HTTP/1.1\r\nHost: test\r\nContent-Length: " + std::to_string(kBytes) +
               "\r\n\r\n");
   for (std::size_t sent = 0; sent < kBytes; sent += piece.size()) {
     ASSERT_TRUE(caller.Send(piece));
-    if (sent % 10'000'000 == 0) most = std::max(most, ResidentBytes());
+    if (sent % 10'000'000 == 0) peak = std::max(peak, ResidentBytes());
   }
   std::size_t read = 0;
   for (std::size_t last = 1; last > 0 && read < kBytes; read += last) {
     last = caller.ReadToEnd(1).size();
-    most = std::max(most, ResidentBytes());
+    peak = std::max(peak, ResidentBytes());
   }
   EXPECT_GE(read, kBytes);
-  EXPECT_LT(most - std::min(most, before), kMostGrowth);
+  EXPECT_LT(peak - std::min(peak, before), kMaxGrowth);
 }
 
 }  // namespace
--- a/tests/proxy/exchange_test.cc
+++ b/tests/proxy/exchange_test.cc
@@ -1,4 +1,5 @@
-// Whole answers, true refusals and failures that show: one request through the shell.
+// Tests single requests through the proxy: responses are complete, refusals are correct and
+// failures are visible to the caller.
 #include <future>
 
 #include "tests/proxy/proxy_fixture.h"
@@ -16,7 +17,7 @@
 TEST_F(ProxyTest, PassesEveryMethodWithItsBody) {
   RawServer backend(Answering(Echo));
   StartProxy({{backend.address()}});
-  RawSocket caller = Call();
+  RawSocket caller = Connect();
   for (const std::string method : {"GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"}) {
     caller.Send(method + " /permits//7?a=%2F..&b HTTP/1.1\r\nHost: test\r\nContent-Length: 4\r\n" +
                 "\r\nbody");
@@ -38,7 +39,7 @@
     return Ok("", fields);
   }));
   StartProxy({{backend.address()}});
-  const RawMessage answer = Ask(Get("/", "X-Note: a%0d%0aInjected: 1\r\nX-Empty: \r\n"));
+  const RawMessage answer = SendRequest(Get("/", "X-Note: a%0d%0aInjected: 1\r\nX-Empty: \r\n"));
   EXPECT_NE(answer.head.find(fields), std::string::npos) << answer.head;
   EXPECT_EQ(seen.Header("x-note"), "a%0d%0aInjected: 1");
   EXPECT_EQ(seen.Header("injected"), "");
@@ -48,7 +49,7 @@
 struct HeaderCase {
   const char* sent;
   const char* name;
-  const char* expected;  // At the other side; "" when it must not go on.
+  const char* expected;  // Value at the receiver; "" when it must not be forwarded.
 };
 
 TEST_F(ProxyTest, StopsHopByHopAndForgedHeaders) {
@@ -81,7 +82,7 @@
   script.secret = "the-secret";
   StartProxy(script);
   for (const auto& row : kCases) {
-    const RawMessage answer = Ask(Get("/", row.sent));
+    const RawMessage answer = SendRequest(Get("/", row.sent));
     EXPECT_EQ(answer.status(), 200) << row.sent;
     EXPECT_EQ(seen.Header(row.name), row.expected) << row.sent;
     EXPECT_EQ(answer.Header("keep-alive") + answer.Header("x-hop"), "") << answer.head;
@@ -97,19 +98,19 @@
     return Ok("");
   }));
   StartProxy({{backend.address()}});
-  Ask(Get("/", "copperlead-deadline-ms: 30000\r\ncopperlead-attempt: 2\r\n"));
+  SendRequest(Get("/", "copperlead-deadline-ms: 30000\r\ncopperlead-attempt: 2\r\n"));
   EXPECT_LE(std::stoi(seen.Header("copperlead-deadline-ms")), 30000);
   EXPECT_GT(std::stoi(seen.Header("copperlead-deadline-ms")), 10000);
   EXPECT_TRUE(record_->last_facts().already_retried);
-  Ask(Get("/"));
+  SendRequest(Get("/"));
   EXPECT_EQ(seen.Header("copperlead-deadline-ms"), "");
 }
 
-// How a back end ends the first connection, and what the caller then gets.
+// A way in which a back end ends the first connection, and the response that the caller gets.
 struct FaultCase {
   const char* name;
   RawServer::Serve first;
-  int status;  // 0: no head at all.
+  int status;  // 0 when no head is received.
   bool whole;
   const char* outcome;
   const char* event;
@@ -144,7 +145,7 @@
          socket.Send("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n");
        },
        502, true, "unknown", "failed:2"},
-      {"unasked switch of protocols",
+      {"unsolicited 101 Switching Protocols",
        [](RawSocket& socket, int) {
          socket.Read();
          socket.Send("HTTP/1.1 101 Switching Protocols\r\n\r\n");
@@ -173,7 +174,7 @@
        [&](RawSocket& socket, int) {
          socket.Read();
          socket.Send("HTTP/1.1 200 OK\r\n\r\nhalf-");
-         socket.ReadToEnd(1);  // Until the caller was served the half and left.
+         socket.ReadToEnd(1);  // Returns when the proxy closes the connection.
          reset(socket);
        },
        200, false, "", "finished:cut"},
@@ -198,12 +199,12 @@
     DeciderScript script{{backend.address()}, 3};
     script.progress_timeout = std::chrono::milliseconds(300);
     StartProxy(script);
-    const RawMessage answer = Ask(Post("/buy", "one permit"));
+    const RawMessage answer = SendRequest(Post("/buy", "one permit"));
     EXPECT_EQ(answer.status(), row.status);
     EXPECT_EQ(answer.whole, row.whole);
     EXPECT_EQ(answer.Header("copperlead-outcome"), row.outcome);
-    EXPECT_TRUE(Eventually([&] { return record_->Holds("released"); }));
-    EXPECT_TRUE(record_->Holds(row.event));
+    EXPECT_TRUE(Eventually([&] { return record_->Contains("released"); }));
+    EXPECT_TRUE(record_->Contains(row.event));
     EXPECT_EQ(backend.connections(), 1) << "a purchase is sent at most once";
     proxy_.reset();
   }
@@ -211,12 +212,12 @@
 
 TEST_F(ProxyTest, SaysNotRunWhenNothingWasWritten) {
   StartProxy({{RefusingAddress()}});
-  const RawMessage answer = Ask(Post("/buy", "one permit"));
+  const RawMessage answer = SendRequest(Post("/buy", "one permit"));
   EXPECT_EQ(answer.status(), 503);
   EXPECT_EQ(answer.Header("copperlead-outcome"), "not-run");
   EXPECT_EQ(answer.Header("retry-after"), "1");
   EXPECT_EQ(answer.body, "{\"cause\":\"scripted\",\"error\":\"connect_failed\"}\n");
-  EXPECT_TRUE(record_->Holds("failed:0"));
+  EXPECT_TRUE(record_->Contains("failed:0"));
 }
 
 TEST_F(ProxyTest, SendsTheWholeBodyAgainOnARetry) {
@@ -225,15 +226,16 @@
   }));
   RawServer good(Answering(Echo));
   StartProxy({{RefusingAddress(), shedding.address(), good.address()}, 3});
-  const RawMessage answer = Ask(Post("/buy", "one permit"));
+  const RawMessage answer = SendRequest(Post("/buy", "one permit"));
   EXPECT_EQ(answer.body, "POST /buy HTTP/1.1\none permit");
   EXPECT_TRUE(record_->last_facts().body_can_be_resent);
 }
 
-// The first answer stalls for longer than the timeout, after `stall_after` of its bytes.
+// The first response stalls for longer than the timeout, after as many bytes as the parameter says.
+// Its remainder must never be taken for the response to a later request.
 class LateAnswerTest : public ProxyTest, public testing::WithParamInterface<std::size_t> {};
 
-TEST_P(LateAnswerTest, NeverCrossesIntoTheNextOne) {
+TEST_P(LateAnswerTest, IsNeverDeliveredToALaterRequest) {
   std::atomic<int> served = 0;
   RawServer backend([&](RawSocket& socket, int) {
     for (;;) {
@@ -250,8 +252,8 @@
   DeciderScript script{{backend.address()}};
   script.progress_timeout = std::chrono::milliseconds(150);
   StartProxy(script);
-  EXPECT_FALSE(Ask(Get("/first")).status() == 200 && record_->Holds("finished:whole"));
-  RawSocket caller = Call();
+  EXPECT_FALSE(SendRequest(Get("/first")).status() == 200 && record_->Contains("finished:whole"));
+  RawSocket caller = Connect();
   for (int request = 0; request < 50; ++request) {
     const std::string path = "/next-" + std::to_string(request);
     caller.Send(Get(path));
@@ -260,7 +262,7 @@
   }
 }
 
-// None of it, a part of the head, the head alone, a part of the body.
+// Stalls before the head, within the head, after the head and within the body.
 INSTANTIATE_TEST_SUITE_P(StallAfter, LateAnswerTest, testing::Values(0, 10, 39, 45));
 
 TEST_F(ProxyTest, NeverPoolsAConnectionWithSomethingLeftOver) {
@@ -268,7 +270,7 @@
     return Echo(request) + Ok("an answer that nobody asked for");
   }));
   StartProxy({{backend.address()}});
-  RawSocket caller = Call();
+  RawSocket caller = Connect();
   for (const std::string path : {"/a", "/b", "/c"}) {
     caller.Send(Get(path));
     EXPECT_EQ(caller.Read().body, "GET " + path + " HTTP/1.1\n");
@@ -277,11 +279,11 @@
 
 TEST_F(ProxyTest, TakesAFreshConnectionWhenThePooledOneWasClosed) {
   RawServer backend([](RawSocket& socket, int) {
-    socket.Send(Echo(socket.Read()));  // Then closes, without having said so.
+    socket.Send(Echo(socket.Read()));  // Then closes without having announced it.
   });
   StartProxy({{backend.address()}});
   for (int request = 0; request < 5; ++request) {
-    EXPECT_EQ(Ask(Post("/buy", "one")).status(), 200);
+    EXPECT_EQ(SendRequest(Post("/buy", "one")).status(), 200);
     EXPECT_TRUE(Eventually([&] { return backend.connections() == request + 1; }));
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
@@ -290,10 +292,10 @@
 struct BodylessCase {
   const char* request;
   const char* answer;
-  const char* length;  // Of the relayed answer.
+  const char* length;  // Content-Length of the relayed response.
 };
 
-TEST_F(ProxyTest, KeepsAnswersWithoutBodyRight) {
+TEST_F(ProxyTest, RelaysResponsesWithoutBody) {
   const BodylessCase kCases[] = {
       {"HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n", "1000"},
       {"HEAD", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", ""},
@@ -306,7 +308,7 @@
     SCOPED_TRACE(row.answer);
     RawServer backend(Answering([&](const RawMessage&) { return std::string(row.answer); }));
     StartProxy({{backend.address()}});
-    RawSocket caller = Call();
+    RawSocket caller = Connect();
     for (int request = 0; request < 3; ++request) {
       caller.Send(std::string(row.request) + " / HTTP/1.1\r\nHost: test\r\n\r\n");
       const RawMessage answer = caller.Read(std::string_view(row.request) == "HEAD");
@@ -322,7 +324,7 @@
 TEST_F(ProxyTest, AnswersPipelinedRequestsInOrder) {
   RawServer backend(Answering(Echo));
   StartProxy({{backend.address()}});
-  RawSocket caller = Call();
+  RawSocket caller = Connect();
   caller.Send(Post("/1", "x") + Get("/2") + Post("/3", "yyy") + Get("/4"));
   for (const std::string expected :
        {"POST /1 HTTP/1.1\nx", "GET /2 HTTP/1.1\n", "POST /3 HTTP/1.1\nyyy", "GET /4 HTTP/1.1\n"}) {
@@ -340,7 +342,7 @@
     return chunked_answer;
   }));
   StartProxy({{backend.address()}});
-  RawSocket caller = Call();
+  RawSocket caller = Connect();
   for (int request = 0; request < 3; ++request) {
     caller.Send("PUT /plate HTTP/1.1\r\nHost: test\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nnigh");
     caller.Send("\r\n1\r\nt\r\n0\r\n\r\n");
@@ -351,7 +353,7 @@
   }
   EXPECT_EQ(backend.connections(), 1);
   EXPECT_FALSE(record_->last_facts().body_can_be_resent);
-  const RawMessage old = Ask("GET / HTTP/1.0\r\n\r\n");
+  const RawMessage old = SendRequest("GET / HTTP/1.0\r\n\r\n");
   EXPECT_EQ(old.body, "abcde") << "an HTTP/1.0 caller gets no chunks";
   EXPECT_EQ(old.Header("transfer-encoding") + old.Header("connection"), "close");
 }
@@ -362,19 +364,19 @@
     socket.Send("HTTP/1.1 200 OK\r\n\r\nall of it");
   });
   StartProxy({{backend.address()}});
-  const RawMessage answer = Ask(Get("/"));
+  const RawMessage answer = SendRequest(Get("/"));
   EXPECT_EQ(answer.body, "all of it");
   EXPECT_TRUE(answer.whole);
 }
 
-// Without chunks or a length, an orderly end would pass a half for the whole.
-TEST_F(ProxyTest, ResetsAnOldCallerWhoseAnswerWasCut) {
+// Without chunks or a length, an orderly end would make a partial response look complete.
+TEST_F(ProxyTest, ResetsAnHttp10CallerWhoseResponseIsIncomplete) {
   RawServer backend([](RawSocket& socket, int) {
     socket.Read();
     socket.Send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhalf-\r\n");
   });
   StartProxy({{backend.address()}});
-  RawSocket caller = Call();
+  RawSocket caller = Connect();
   caller.Send("GET / HTTP/1.0\r\n\r\n");
   caller.Read();
   EXPECT_TRUE(caller.was_reset());
@@ -385,7 +387,7 @@
   settings_.buffer_limit = 8;
   StartProxy({{backend.address()}});
   for (const std::string body : {"small", "larger than the buffer"}) {
-    RawSocket caller = Call();
+    RawSocket caller = Connect();
     caller.Send("PUT / HTTP/1.1\r\nHost: test\r\nExpect: 100-continue\r\nContent-Length: " +
                 std::to_string(body.size()) + "\r\n\r\n");
     EXPECT_EQ(caller.Read().status(), 100);
@@ -404,7 +406,7 @@
     socket.AwaitClosed();
   });
   StartProxy({{backend.address()}});
-  RawSocket caller = Call();
+  RawSocket caller = Connect();
   caller.Send("PUT / HTTP/1.1\r\nHost: test\r\nContent-Length: 100000000\r\n\r\n" +
               std::string(60'000, 'x'));
   const RawMessage answer = caller.Read();
@@ -421,12 +423,12 @@
     if (socket.AwaitClosed()) closed.set_value();
   });
   StartProxy({{backend.address()}});
-  RawSocket caller = Call();
+  RawSocket caller = Connect();
   caller.Send(Get("/"));
   EXPECT_TRUE(Eventually([&] { return backend.connections() == 1; }));
   caller.Close();
   EXPECT_EQ(closed.get_future().wait_for(std::chrono::seconds(20)), std::future_status::ready);
-  EXPECT_TRUE(Eventually([&] { return record_->Holds("failed:5"); }));
+  EXPECT_TRUE(Eventually([&] { return record_->Contains("failed:5"); }));
 }
 
 TEST_F(ProxyTest, CallerThatLeavesWithinItsUploadEndsTheUpstreamCall) {
@@ -435,12 +437,12 @@
     if (!socket.Read().whole) closed.set_value();
   });
   StartProxy({{backend.address()}});
-  RawSocket caller = Call();
+  RawSocket caller = Connect();
   caller.Send("PUT / HTTP/1.1\r\nHost: test\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n");
   EXPECT_TRUE(Eventually([&] { return backend.connections() == 1; }));
   caller.Close();
   EXPECT_EQ(closed.get_future().wait_for(std::chrono::seconds(20)), std::future_status::ready);
-  EXPECT_TRUE(Eventually([&] { return record_->Holds("failed:5"); }));
+  EXPECT_TRUE(Eventually([&] { return record_->Contains("failed:5"); }));
 }
 
 }  // namespace
--- a/tests/proxy/proxy_fixture.h
+++ b/tests/proxy/proxy_fixture.h
@@ -1,4 +1,4 @@
-// A proxy on an ephemeral port, with scripted decisions.
+// A test fixture with a proxy on an ephemeral port and scripted routing decisions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -23,11 +23,11 @@
     proxy_ = std::move(started.value());
   }
 
-  RawSocket Call() const { return RawSocket::Connect(proxy_->local_address()); }
+  RawSocket Connect() const { return RawSocket::Connect(proxy_->local_address()); }
 
-  // One request on a connection of its own.
-  RawMessage Ask(const std::string& request, bool is_head = false) const {
-    RawSocket caller = Call();
+  // Sends one request on a new connection and reads the response.
+  RawMessage SendRequest(const std::string& request, bool is_head = false) const {
+    RawSocket caller = Connect();
     caller.Send(request);
     return caller.Read(is_head);
   }
@@ -52,7 +52,7 @@
          "\r\n\r\n" + body;
 }
 
-// Serves every request of a connection with an answer made from it.
+// Responds to every request of a connection with the text that `answer` returns for it.
 inline RawServer::Serve Answering(std::function<std::string(const RawMessage&)> answer) {
   return [answer = std::move(answer)](RawSocket& socket, int) {
     for (;;) {
--- a/tests/proxy/raw_socket.cc
+++ b/tests/proxy/raw_socket.cc
@@ -16,7 +16,7 @@
 namespace copperlead {
 namespace {
 
-constexpr int kGenerousMilliseconds = 20'000;
+constexpr int kWaitTimeoutMilliseconds = 20'000;
 
 sockaddr_in ToSystemAddress(const SocketAddress& address) {
   sockaddr_in system{};
@@ -81,7 +81,7 @@
 bool RawSocket::Fill() {
   if (fd_ < 0) return false;
   pollfd descriptor{fd_, POLLIN, 0};
-  if (poll(&descriptor, 1, kGenerousMilliseconds) <= 0) return false;
+  if (poll(&descriptor, 1, kWaitTimeoutMilliseconds) <= 0) return false;
   std::array<char, 65536> bytes;
   const ssize_t count = recv(fd_, bytes.data(), bytes.size(), 0);
   was_reset_ = count < 0;
@@ -144,7 +144,7 @@
   std::array<char, 4096> dropped;
   for (;;) {
     pollfd descriptor{fd_, POLLIN, 0};
-    if (poll(&descriptor, 1, kGenerousMilliseconds) <= 0) return false;
+    if (poll(&descriptor, 1, kWaitTimeoutMilliseconds) <= 0) return false;
     if (recv(fd_, dropped.data(), dropped.size(), 0) <= 0) return true;
   }
 }
@@ -202,9 +202,9 @@
 }
 
 bool Eventually(const std::function<bool()>& condition) {
-  // By the clock: a condition that takes long itself doesn't stretch the limit.
+  // Measures the time by the clock, so that a slow condition does not extend the limit.
   const auto until =
-      std::chrono::steady_clock::now() + std::chrono::milliseconds(kGenerousMilliseconds);
+      std::chrono::steady_clock::now() + std::chrono::milliseconds(kWaitTimeoutMilliseconds);
   while (std::chrono::steady_clock::now() < until) {
     if (condition()) return true;
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
--- a/tests/proxy/raw_socket.h
+++ b/tests/proxy/raw_socket.h
@@ -1,5 +1,4 @@
-// Sockets that do as they are told: callers and back ends of the proxy's tests, well-behaved or
-// not.
+// Plain sockets with which tests act as callers and back ends, including misbehaving ones.
 #pragma once
 
 #include <atomic>
@@ -17,11 +16,11 @@
 
 namespace copperlead {
 
-// One message as it came: the head as text, the body with its framing taken off.
+// One message as received: the head as text, the body without its framing.
 struct RawMessage {
-  std::string head;  // Empty when none came whole.
+  std::string head;  // Empty when no complete head was received.
   std::string body;
-  bool whole = false;  // The body ended as its framing says.
+  bool whole = false;  // The body ended as its framing specifies.
 
   int status() const;
   // @return the values of all fields `name` (in lower case), joined by '|'; "" when there is none.
@@ -42,15 +41,16 @@
   }
   ~RawSocket() { Close(); }
 
-  // @return false when the peer is gone.
+  // @return false when the connection has failed.
   bool Send(std::string_view bytes) const;
-  // Reads one message. The answer to HEAD and the statuses without body have none.
+  // Reads one message. Expects no body in a response to HEAD or with a status that allows none.
   RawMessage Read(bool answers_head = false);
-  // Reads what comes until the peer closes or `limit` bytes are there.
+  // Reads until the peer closes or at least `limit` bytes have been received.
   std::string ReadToEnd(std::size_t limit = SIZE_MAX);
-  // @return true when the peer closed in order or by a reset (within a generous bound).
+  // @return true when the peer closes the connection, orderly or by a reset, within the waiting
+  //         time.
   bool AwaitClosed() const;
-  // The last read found a reset in place of an orderly end.
+  // The last read failed, as it does after a reset, instead of finding an orderly end.
   bool was_reset() const { return was_reset_; }
   void Reset();
   void Close();
@@ -65,7 +65,8 @@
   bool was_reset_ = false;
 };
 
-// A listener that runs `serve` in a thread for each connection; its end ends them all.
+// A listener that runs `serve` in a thread for each connection. The destructor shuts down all
+// connections.
 class RawServer {
  public:
   using Serve = std::function<void(RawSocket& socket, int connection)>;
@@ -80,7 +81,7 @@
 
   const Serve serve_;
   SocketAddress address_;
-  int fd_;  // Bound while address_ is filled in.
+  int fd_;  // Bind() sets address_ while it creates this descriptor.
   std::atomic<int> connections_ = 0;
   std::atomic<bool> stopping_ = false;
   std::mutex mutex_;
@@ -89,10 +90,10 @@
   std::thread accepting_;
 };
 
-// An address at which nothing listens.
+// @return an address on which nothing listens.
 SocketAddress RefusingAddress();
 
-// Waits for a condition with a generous bound. @return whether it came true.
+// Waits until a condition becomes true, for a limited time. @return whether it became true.
 bool Eventually(const std::function<bool()>& condition);
 
 }  // namespace copperlead
--- a/tests/proxy/scripted_decider.cc
+++ b/tests/proxy/scripted_decider.cc
@@ -72,7 +72,7 @@
   std::uint32_t attempt_ = 0;
 };
 
-bool NormalizePlainly(std::string_view path, std::string& normalized) {
+bool NormalizeForTest(std::string_view path, std::string& normalized) {
   if (path.find("..") != std::string_view::npos) return false;
   normalized.clear();
   for (const char c : path) {
@@ -93,7 +93,7 @@
   return events_;
 }
 
-bool DeciderRecord::Holds(const std::string& event) const {
+bool DeciderRecord::Contains(const std::string& event) const {
   const auto all = events();
   return std::find(all.begin(), all.end(), event) != all.end();
 }
@@ -113,7 +113,7 @@
   decider.begin = [script = std::move(script), record](const RequestFacts& facts) {
     return std::make_unique<ScriptedSession>(script, record, facts);
   };
-  decider.normalize_path = NormalizePlainly;
+  decider.normalize_path = NormalizeForTest;
   return decider;
 }
 
--- a/tests/proxy/scripted_decider.h
+++ b/tests/proxy/scripted_decider.h
@@ -1,4 +1,4 @@
-// A decider with a fixed, plain policy and a record of what the shell told it.
+// A RequestDecider with a fixed, simple policy, and a record of what the proxy reported to it.
 #pragma once
 
 #include <atomic>
@@ -12,20 +12,21 @@
 namespace copperlead {
 
 struct DeciderScript {
-  std::vector<SocketAddress> backends;  // Attempt n goes to backends[n - 1], the last one again.
+  // Attempt n goes to backends[n - 1], further ones to the last.
+  std::vector<SocketAddress> backends;
   std::uint32_t max_attempts = 1;
   Duration progress_timeout = std::chrono::seconds(10);
   bool allow_idle = true;
   std::string secret = {};
 };
 
-// What the shell reported, in order: "begin", "failed:2" (AttemptFailure), "answer:503",
+// The events that the proxy reported, in order: "begin", "failed:2" (AttemptFailure), "answer:503",
 // "finished:whole", "finished:cut", "released".
 class DeciderRecord {
  public:
   void Add(std::string event);
   std::vector<std::string> events() const;
-  bool Holds(const std::string& event) const;
+  bool Contains(const std::string& event) const;
   RequestFacts last_facts() const;
   void SetFacts(const RequestFacts& facts);
 
@@ -35,7 +36,8 @@
   RequestFacts facts_;
 };
 
-// Retries what was surely not run, and lost GETs. Paths with ".." are refused, "//" is collapsed.
+// Retries requests that have certainly not run, and GET requests whose connection was lost. Refuses
+// paths with ".." and collapses "//".
 RequestDecider MakeScriptedDecider(DeciderScript script, std::shared_ptr<DeciderRecord> record);
 
 }  // namespace copperlead
