--- a/src/proxy/body_reader.cc
+++ b/src/proxy/body_reader.cc
@@ -7,21 +7,22 @@
 namespace {
 
 constexpr std::string_view kLineEnd = "\r\n";
-constexpr std::size_t kMaxChunkLine = 512;  // With its extensions, which are dropped.
-constexpr std::size_t kMaxTrailerBytes = std::size_t{8} * 1024;  // Of all trailer lines.
+// In bytes, including chunk extensions, which are ignored.
+constexpr std::size_t kMaxChunkLine = 512;
+constexpr std::size_t kMaxTrailerBytes = std::size_t{8} * 1024;  // Total for all trailer lines.
 constexpr std::size_t kMaxSizeDigits = 15;
 
 }  // namespace
 
 BodyReader::BodyReader(SocketStream& stream, BodyFraming framing)
-    : stream_(stream), framing_(framing), state_(State::kData), left_(framing.length) {
+    : stream_(stream), framing_(framing), state_(State::kData), remaining_(framing.length) {
   if (framing.kind == BodyKind::kNone) state_ = State::kEnded;
   if (framing.kind == BodyKind::kChunked) state_ = State::kChunkSize;
 }
 
 BodyStep BodyReader::Next(const IoLimits& limits) {
-  stream_.Consume(taken_);
-  taken_ = 0;
+  stream_.Consume(last_piece_size_);
+  last_piece_size_ = 0;
   for (;;) {
     if (state_ == State::kEnded) return {BodyStatus::kEnd, IoStatus::kOk, {}};
     if (state_ == State::kMalformed) return {BodyStatus::kMalformed, IoStatus::kOk, {}};
@@ -36,13 +37,14 @@
 BodyStep BodyReader::TakePiece() {
   std::string_view piece = stream_.buffered();
   if (framing_.kind != BodyKind::kUntilClose) {
-    piece = piece.substr(0, static_cast<std::size_t>(std::min<std::uint64_t>(left_, piece.size())));
-    left_ -= piece.size();
-    if (left_ == 0) {
+    piece = piece.substr(
+        0, static_cast<std::size_t>(std::min<std::uint64_t>(remaining_, piece.size())));
+    remaining_ -= piece.size();
+    if (remaining_ == 0) {
       state_ = framing_.kind == BodyKind::kChunked ? State::kChunkEnd : State::kEnded;
     }
   }
-  taken_ = piece.size();
+  last_piece_size_ = piece.size();
   return {BodyStatus::kPiece, IoStatus::kOk, piece};
 }
 
@@ -88,12 +90,12 @@
     digits.remove_suffix(1);
   }
   const char* const end = digits.data() + digits.size();
-  const auto [stop, code] = std::from_chars(digits.data(), end, left_, kHexadecimal);
+  const auto [stop, code] = std::from_chars(digits.data(), end, remaining_, kHexadecimal);
   if (digits.empty() || digits.size() > kMaxSizeDigits || code != std::errc() || stop != end) {
     state_ = State::kMalformed;
     return;
   }
-  state_ = left_ == 0 ? State::kTrailer : State::kData;
+  state_ = remaining_ == 0 ? State::kTrailer : State::kData;
 }
 
 }  // namespace copperlead
--- a/src/proxy/body_reader.h
+++ b/src/proxy/body_reader.h
@@ -1,4 +1,4 @@
-// Reads a message body off a socket piece by piece, without holding more than the socket's buffer.
+// Reads a message body from a socket incrementally. Never holds more than the socket's buffer.
 #pragma once
 
 #include <cstdint>
@@ -10,19 +10,20 @@
 namespace copperlead {
 
 enum class BodyStatus : std::uint8_t {
-  kPiece,      // Some bytes of the body.
-  kEnd,        // The body ended as its framing says.
-  kMalformed,  // Bad chunking.
-  kFailed,     // The socket failed or a limit was reached: see BodyStep::io.
+  kPiece,      // BodyStep::piece holds some bytes of the body.
+  kEnd,        // The body is complete according to its framing.
+  kMalformed,  // The chunked encoding is invalid.
+  kFailed,     // The socket failed or a limit was reached; see BodyStep::io.
 };
 
 struct BodyStep {
   BodyStatus status = BodyStatus::kEnd;
   IoStatus io = IoStatus::kOk;
-  std::string_view piece;  // Valid until the next call.
+  std::string_view piece;  // Valid until the next call of BodyReader::Next().
 };
 
-// Used by one thread. The stream must outlive it. Trailers are read and dropped.
+// Must be used by a single thread. The stream must outlive the reader. Trailers are read and
+// discarded.
 class BodyReader {
  public:
   BodyReader(SocketStream& stream, BodyFraming framing);
@@ -32,15 +33,15 @@
 
  private:
   enum class State : std::uint8_t {
-    kData,       // `left_` bytes of the body or of the chunk are to come.
-    kChunkSize,  // A line with a chunk's size is next.
-    kChunkEnd,   // The line end after a chunk's data is next.
-    kTrailer,    // Trailer lines are next.
+    kData,       // `remaining_` bytes of the body or of the current chunk are still to be read.
+    kChunkSize,  // The next line holds a chunk's size.
+    kChunkEnd,   // The line end after a chunk's data comes next.
+    kTrailer,    // Trailer lines come next.
     kEnded,
     kMalformed,
   };
 
-  // Works off one element of chunked framing. @return false when more bytes are needed.
+  // Parses one line of the chunked framing. @return false when more bytes are needed.
   bool ParseFramingLine();
   void ParseChunkSize(std::string_view line);
   BodyStep TakePiece();
@@ -49,8 +50,8 @@
   SocketStream& stream_;
   BodyFraming framing_;
   State state_;
-  std::uint64_t left_ = 0;
-  std::size_t taken_ = 0;  // Size of the piece last handed out.
+  std::uint64_t remaining_ = 0;
+  std::size_t last_piece_size_ = 0;  // Size in bytes of the piece returned last.
   std::size_t trailer_bytes_ = 0;
 };
 
--- a/src/proxy/caller_request.cc
+++ b/src/proxy/caller_request.cc
@@ -18,12 +18,13 @@
 }
 
 bool CheckMethod(const std::string& method, RequestFault& fault) {
-  // CONNECT asks for a tunnel; TRACE would show the caller the row's secret.
+  // CONNECT asks for a tunnel. TRACE would show the caller the secret that the proxy adds for the
+  // back end.
   if (method == "CONNECT" || method == "TRACE") return Refuse(fault, "method not supported");
   return true;
 }
 
-// Back ends may wait for a body of these methods when no length is given (RFC 9110, 8.6).
+// Back ends may wait for a body with these methods when no length is given (RFC 9110, section 8.6).
 bool MethodHasBody(const std::string& method) {
   return method == "POST" || method == "PUT" || method == "PATCH";
 }
@@ -67,7 +68,7 @@
   return true;
 }
 
-// Reads a header that may stand at most once.
+// Reads a header that may occur at most once.
 bool ReadSingle(const HeaderFields& fields, std::string_view name,
                 std::optional<std::string_view>& value, RequestFault& fault) {
   const auto values = ValuesOf(fields, name);
@@ -105,7 +106,8 @@
   return true;
 }
 
-bool ReadOwnHeaders(const HeaderFields& fields, CallerRequest& request, RequestFault& fault) {
+bool ReadCopperleadHeaders(const HeaderFields& fields, CallerRequest& request,
+                           RequestFault& fault) {
   std::optional<std::uint64_t> deadline;
   std::optional<std::uint64_t> attempt;
   if (!ReadNumber(fields, kDeadlineHeader, 0, kMaxDeadlineMilliseconds, deadline, fault) ||
@@ -144,7 +146,7 @@
     return Refuse(fault, std::move(fault.cause));
   }
   if (!CheckMethod(head.method, fault) || !ReadTarget(head, decider, request, fault) ||
-      !ReadHost(head, request, fault) || !ReadOwnHeaders(head.fields, request, fault) ||
+      !ReadHost(head, request, fault) || !ReadCopperleadHeaders(head.fields, request, fault) ||
       !ReadExpectation(head, request, fault)) {
     return false;
   }
--- a/src/proxy/caller_request.h
+++ b/src/proxy/caller_request.h
@@ -1,5 +1,5 @@
-// Turns the head of a caller's request into what the router decides by and what goes on to a back
-// end, or into the fault that refuses it. No I/O.
+// Validates the head of a caller's request and splits it into the facts that routing needs and the
+// parts that are forwarded to a back end. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace copperlead {
 
-// What the shell needs of routing.
+// The functions of the routing layer that the proxy server calls.
 struct RequestDecider {
   std::function<std::unique_ptr<RequestSession>(const RequestFacts&)> begin;
   // See NormalizePath().
@@ -22,27 +22,27 @@
 };
 
 struct CallerRequest {
-  RequestFacts facts;   // `path` is normalized; `body_can_be_resent` is set by the shell.
+  RequestFacts facts;   // `path` is normalized; RequestExchange sets `body_can_be_resent`.
   std::string target;   // The normalized path and the query as received.
-  std::string host;     // Of the target in absolute form, else the Host header; may be empty.
+  std::string host;     // From an absolute-form target, else from the Host header. May be empty.
   HeaderFields fields;  // End-to-end fields only, see forwarded_headers.h.
   BodyFraming framing;
-  std::uint32_t attempt = 1;  // From `copperlead-attempt`.
+  std::uint32_t attempt = 1;  // Value of the `copperlead-attempt` header.
   bool is_head = false;
-  bool declares_length = false;  // Goes on with a Content-Length even when that is 0.
-  bool accepts_chunked = true;   // HTTP/1.1.
+  bool declares_length = false;  // Is forwarded with a Content-Length even when that is 0.
+  bool accepts_chunked = true;   // True for HTTP/1.1 callers.
   bool keep_alive = true;
   bool expects_continue = false;
 };
 
-// A request that goes no further.
+// Why a request is refused without being routed.
 struct RequestFault {
   ErrorKind kind = ErrorKind::kBadRequest;
   std::string cause;
 };
 
-// @param new_request_id called when the caller named none.
-// @return false when the request must be refused; `fault` then says why.
+// @param new_request_id called when the caller sent no request id.
+// @return false when the request must be refused; `fault` then holds the reason.
 bool ReadCallerRequest(const RequestHead& head, const RequestDecider& decider,
                        const std::function<std::string()>& new_request_id, CallerRequest& request,
                        RequestFault& fault);
--- a/src/proxy/chunk_size_line.h
+++ b/src/proxy/chunk_size_line.h
@@ -1,4 +1,4 @@
-// The line before a chunk's data: its size in hexadecimal, made without allocating.
+// The line before a chunk's data: the chunk's size in hexadecimal, formatted without an allocation.
 #pragma once
 
 #include <array>
--- a/src/proxy/http_message.cc
+++ b/src/proxy/http_message.cc
@@ -42,7 +42,7 @@
   return text.substr(first, last - first + 1);
 }
 
-// Takes the next line off `text`, without its end.
+// Removes the next line from `text` and returns it without its line end.
 std::string_view TakeLine(std::string_view& text) {
   const auto end = text.find(kLineEnd);
   const std::string_view line = text.substr(0, end);
@@ -79,7 +79,7 @@
   }
 }
 
-// The Content-Length of a message, and whether there is one.
+// Sets the framing from the Content-Length of a message; `values` must not be empty.
 bool ParseContentLength(const std::vector<std::string_view>& values, BodyFraming& framing,
                         std::string& fault) {
   if (values.size() > 1) {
--- a/src/proxy/http_message.h
+++ b/src/proxy/http_message.h
@@ -1,7 +1,7 @@
-// Heads of HTTP/1.1 messages (RFC 9112), read strictly: what two parsers could read differently is
-// refused. cpp-httplib's own parser percent-decodes header values (so "%0d%0a" becomes a line
-// break), drops empty ones, and takes Content-Length beside Transfer-Encoding; a proxy may do none
-// of that.
+// A strict parser for the heads of HTTP/1.1 messages (RFC 9112). It refuses whatever two parsers
+// could interpret differently. The parser of cpp-httplib is unsuitable for a proxy: it
+// percent-decodes header values (so that "%0d%0a" becomes a line break), drops empty ones, and
+// accepts Content-Length together with Transfer-Encoding.
 #pragma once
 
 #include <cstddef>
@@ -16,13 +16,13 @@
   std::string name;
   std::string value;
 };
-// In the order received.
+// Header fields in the order received.
 using HeaderFields = std::vector<HeaderField>;
 
 struct RequestHead {
   std::string method;
   std::string target;
-  int minor_version = 1;  // Of HTTP/1.
+  int minor_version = 1;  // Minor version of HTTP/1.
   HeaderFields fields;
 };
 
@@ -35,7 +35,7 @@
 
 enum class BodyKind : std::uint8_t { kNone, kLength, kChunked, kUntilClose };
 
-// How the end of a body is known.
+// How the end of a body is determined.
 struct BodyFraming {
   BodyKind kind = BodyKind::kNone;
   std::uint64_t length = 0;  // In bytes, for kLength.
@@ -50,26 +50,26 @@
 // @return the elements of a comma-separated list over all fields called `name`, trimmed.
 std::vector<std::string_view> ListOf(const HeaderFields& fields, std::string_view name);
 
-// @return true when the list `name` holds `token`.
+// @return true when the list `name` contains `token`.
 bool ListHolds(const HeaderFields& fields, std::string_view name, std::string_view token);
 
-// Reads digits only, at most 18 of them.
+// Parses decimal digits only, at most 18 of them. @return false for any other text.
 bool ParseWholeNumber(std::string_view text, std::uint64_t& number);
 
-// @return the size of the head at the start of `bytes`, its empty line included; 0 when it is not
-//         there whole.
+// @return the size of the head at the start of `bytes`, including its empty line; 0 when the
+//         head is incomplete.
 std::size_t FindHeadEnd(std::string_view bytes);
 
-// @return true when a line ends without a carriage return: no valid head can follow.
+// @return true when a line ends without a carriage return, so that the head cannot be valid.
 bool HasBareLineFeed(std::string_view bytes);
 
-// Read a whole head as FindHeadEnd() gives it.
-// @return false when it is malformed; `fault` then says why.
+// Parse a complete head, whose size FindHeadEnd() determines.
+// @return false when the head is malformed; `fault` then holds the reason.
 bool ParseRequestHead(std::string_view text, RequestHead& head, std::string& fault);
 bool ParseResponseHead(std::string_view text, ResponseHead& head, std::string& fault);
 
-// Find how the body ends.
-// @return false when that is ambiguous or malformed; `fault` then says why.
+// Determine how the end of the body is found.
+// @return false when the framing is ambiguous or malformed; `fault` then holds the reason.
 bool FindRequestFraming(const RequestHead& head, BodyFraming& framing, std::string& fault);
 bool FindResponseFraming(const ResponseHead& head, bool answers_head_request, BodyFraming& framing,
                          std::string& fault);
