--- a/src/proxy/caller_connection.cc
+++ b/src/proxy/caller_connection.cc
@@ -9,14 +9,14 @@
 
 Timestamp Now() { return SteadyClock().Now(); }
 
-enum class HeadStep : std::uint8_t { kRead, kRefused, kGone };
+enum class HeadStep : std::uint8_t { kRead, kRefused, kNoHead };
 
-// Some callers send an empty line after a body (RFC 9112, 2.2).
+// Skips the empty lines that some callers send after a body (RFC 9112, section 2.2).
 void SkipEmptyLines(SocketStream& stream) {
   while (stream.buffered().substr(0, 2) == "\r\n") stream.Consume(2);
 }
 
-// @return false when no request came.
+// @return false when the connection ended, or the limit passed, before a request arrived.
 bool AwaitRequest(const ConnectionServices& services, SocketStream& stream) {
   if (!stream.buffered().empty()) return true;
   stream.ReleaseBuffer();
@@ -25,7 +25,7 @@
   limits.watched_events = POLLIN;
   const IoStatus status = stream.AwaitReadable(limits);
   if (status != IoStatus::kWatched) return status == IoStatus::kOk;
-  return stream.AwaitReadable({kDrainGrace, std::nullopt}) == IoStatus::kOk;
+  return stream.AwaitReadable({kDrainGracePeriod, std::nullopt}) == IoStatus::kOk;
 }
 
 HeadStep ReadHead(const ProxySettings& settings, SocketStream& stream, RequestHead& head,
@@ -52,22 +52,22 @@
       fault.cause = "the request's head came too slowly";
       return HeadStep::kRefused;
     }
-    if (status != IoStatus::kOk) return HeadStep::kGone;
+    if (status != IoStatus::kOk) return HeadStep::kNoHead;
   }
 }
 
-// Serves one request. @return what becomes of the connection.
-ConnectionEnd ServeRequest(const ConnectionServices& services, SocketStream& stream,
-                           ConnectionRegistry::Entry& entry) {
-  if (!AwaitRequest(services, stream)) return ConnectionEnd::kBroken;
+// Serves one request. @return what to do with the connection afterwards.
+ConnectionDisposition ServeRequest(const ConnectionServices& services, SocketStream& stream,
+                                   ConnectionRegistry::Entry& entry) {
+  if (!AwaitRequest(services, stream)) return ConnectionDisposition::kBroken;
   RequestHead head;
   RequestFault fault;
   const HeadStep step = ReadHead(services.context.settings, stream, head, fault);
-  if (step == HeadStep::kGone || !entry.BeginRequest()) return ConnectionEnd::kBroken;
+  if (step == HeadStep::kNoHead || !entry.BeginRequest()) return ConnectionDisposition::kBroken;
   if (step == HeadStep::kRefused) {
     return RequestExchange::Refuse(services.context, stream, fault);
   }
-  const ConnectionEnd end = RequestExchange(services.context, stream).Run(head);
+  const ConnectionDisposition end = RequestExchange(services.context, stream).Run(head);
   entry.EndRequest();
   return end;
 }
@@ -77,17 +77,17 @@
 void ServeConnection(const ConnectionServices& services, int fd) {
   SocketStream stream(fd);
   std::optional<ConnectionRegistry::Entry> entry(std::in_place, services.registry, fd);
-  ConnectionEnd end = ConnectionEnd::kKeep;
-  while (end == ConnectionEnd::kKeep) end = ServeRequest(services, stream, *entry);
+  ConnectionDisposition end = ConnectionDisposition::kKeep;
+  while (end == ConnectionDisposition::kKeep) end = ServeRequest(services, stream, *entry);
   entry.reset();
-  if (end == ConnectionEnd::kClose) services.closer.Close(stream.Release());
+  if (end == ConnectionDisposition::kClose) services.closer.Close(stream.Release());
 }
 
 void RefuseConnection(const ConnectionServices& services, int fd) {
   SocketStream stream(fd);
   ++services.context.answered;
-  const OwnAnswer answer{ErrorKind::kNotReady, "too many connections", {}, {}, true};
-  const IoStatus status = stream.Write({OwnAnswerMessage(answer)}, IoLimits{});
+  const LocalResponse answer{ErrorKind::kNotReady, "too many connections", {}, {}, true};
+  const IoStatus status = stream.Write({LocalResponseMessage(answer)}, IoLimits{});
   if (status == IoStatus::kOk) services.closer.Close(stream.Release());
 }
 
--- a/src/proxy/caller_connection.h
+++ b/src/proxy/caller_connection.h
@@ -1,5 +1,5 @@
-// Serves one caller's connection: reads request heads under their limits, one exchange after the
-// other.
+// Serves one caller's connection: reads request heads within the size and time limits and runs one
+// exchange after the other.
 #pragma once
 
 #include "proxy/connection_registry.h"
@@ -8,11 +8,11 @@
 
 namespace copperlead {
 
-// How long an idle connection waits for a last request when the server drains: one may be on its
-// way, and its answer says that the connection closes.
-inline constexpr Duration kDrainGrace = std::chrono::milliseconds(500);
+// How long an idle connection waits for a last request when the server drains. A request may
+// already be in transit; its response announces that the connection closes.
+inline constexpr Duration kDrainGracePeriod = std::chrono::milliseconds(500);
 
-// What a connection needs beside the context. All outlive the connection.
+// The objects that a connection uses. All of them outlive the connection.
 struct ConnectionServices {
   ProxyContext& context;
   ConnectionRegistry& registry;
@@ -20,10 +20,11 @@
   int drain_fd;  // Becomes readable when the server drains.
 };
 
-// Takes over `fd` and serves it until it ends. Runs in the connection's thread.
+// Takes ownership of `fd` and serves the connection until it ends. Runs in the connection's thread.
 void ServeConnection(const ConnectionServices& services, int fd);
 
-// Takes over `fd` and refuses it for want of threads. Does not block.
+// Takes ownership of `fd` and responds that no thread is available for the connection. Does not
+// block.
 void RefuseConnection(const ConnectionServices& services, int fd);
 
 }  // namespace copperlead
--- a/src/proxy/forwarded_headers.cc
+++ b/src/proxy/forwarded_headers.cc
@@ -9,11 +9,11 @@
 namespace copperlead {
 namespace {
 
-constexpr std::string_view kOwnPrefix = "copperlead-";
+constexpr std::string_view kCopperleadPrefix = "copperlead-";
 constexpr std::string_view kProxyPrefix = "proxy-";
 constexpr std::array<std::string_view, 7> kHopByHop = {
     "connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade", "http2-settings"};
-// What the shell writes itself in a request.
+// Request headers that the proxy writes itself.
 constexpr std::array<std::string_view, 3> kRewritten = {"host", "content-length", "expect"};
 
 bool HasPrefix(std::string_view name, std::string_view prefix) {
@@ -52,8 +52,8 @@
   }
 }
 
-void AppendOwnFields(std::string& head, const CallerRequest& request, const SendAttempt& attempt,
-                     std::optional<Duration> time_left) {
+void AppendCopperleadFields(std::string& head, const CallerRequest& request,
+                            const SendAttempt& attempt, std::optional<Duration> time_left) {
   AppendField(head, kRequestIdHeader, request.facts.request_id);
   AppendField(head, kAttemptHeader, std::max(request.attempt, attempt.attempt));
   if (time_left) {
@@ -91,7 +91,7 @@
   return static_cast<std::uint32_t>(number);
 }
 
-// Reads "in_flight/slots".
+// Parses "in_flight/slots"; ignores malformed text.
 void ReadLoad(std::string_view text, AnswerHead& answer) {
   const auto slash = text.find('/');
   if (slash == std::string_view::npos) return;
@@ -110,7 +110,7 @@
   forwarded.reserve(fields.size());
   for (const auto& field : fields) {
     if (IsHopByHop(field.name, named) || IsOneOf(field.name, kRewritten)) continue;
-    if (HasPrefix(field.name, kOwnPrefix)) continue;
+    if (HasPrefix(field.name, kCopperleadPrefix)) continue;
     forwarded.push_back(field);
   }
   return forwarded;
@@ -129,9 +129,9 @@
 
 std::string UpstreamRequestHead(const CallerRequest& request, const SendAttempt& attempt,
                                 std::optional<Duration> time_left) {
-  constexpr std::size_t kUsualHeadBytes = 1024;
+  constexpr std::size_t kInitialHeadCapacity = 1024;
   std::string head;
-  head.reserve(kUsualHeadBytes);
+  head.reserve(kInitialHeadCapacity);
   head.append(request.facts.method).append(" ").append(request.target).append(" HTTP/1.1\r\n");
   AppendField(head, "Host",
               request.host.empty() ? ToString(attempt.endpoint.address) : request.host);
@@ -140,16 +140,16 @@
     AppendField(head, field.name, field.value);
   }
   if (attempt.secret != nullptr) AppendField(head, "Authorization", "Bearer " + *attempt.secret);
-  AppendOwnFields(head, request, attempt, time_left);
+  AppendCopperleadFields(head, request, attempt, time_left);
   AppendBodyFraming(head, request);
   head += "\r\n";
   return head;
 }
 
 std::string RelayedResponseHead(const ResponseHead& head, RelayFraming framing) {
-  constexpr std::size_t kUsualHeadBytes = 1024;
+  constexpr std::size_t kInitialHeadCapacity = 1024;
   std::string text;
-  text.reserve(kUsualHeadBytes);
+  text.reserve(kInitialHeadCapacity);
   text.append("HTTP/1.1 ").append(std::to_string(head.status)).append(" ").append(head.reason);
   text += "\r\n";
   for (const auto& field : ForwardedResponseFields(head.fields)) {
@@ -161,7 +161,7 @@
   return text;
 }
 
-std::string OwnAnswerMessage(const OwnAnswer& answer) {
+std::string LocalResponseMessage(const LocalResponse& answer) {
   const ErrorAnswer& row = AnswerFor(answer.kind);
   const int status =
       row.http_status != 0 ? row.http_status : AnswerFor(ErrorKind::kInternal).http_status;
--- a/src/proxy/forwarded_headers.h
+++ b/src/proxy/forwarded_headers.h
@@ -1,4 +1,5 @@
-// Which headers go on, and the heads that are written to back ends and callers. No I/O.
+// Selects the headers that are forwarded and formats the heads that are sent to back ends and
+// callers. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -21,41 +22,42 @@
 inline constexpr std::string_view kOutcomeHeader = "copperlead-outcome";
 inline constexpr std::string_view kLoadHeader = "copperlead-load";
 
-// The end-to-end fields of a request: without hop-by-hop ones (RFC 9110, 7.6.1), those that
-// Connection names, all `copperlead-*`, Host, Content-Length and Expect.
+// @return the end-to-end fields of a request: all except hop-by-hop fields (RFC 9110, section
+//         7.6.1), those that Connection names, `copperlead-*`, Host, Content-Length and Expect.
 HeaderFields ForwardedRequestFields(const HeaderFields& fields);
 
-// The end-to-end fields of an answer: without hop-by-hop ones and those that Connection names.
+// @return the end-to-end fields of a response: all except hop-by-hop fields and those that
+//         Connection names. Content-Length is kept.
 HeaderFields ForwardedResponseFields(const HeaderFields& fields);
 
-// The head of a request to a back end.
-// @param time_left for `copperlead-deadline-ms`, if there is a deadline.
+// Formats the head of a request to a back end.
+// @param time_left value of `copperlead-deadline-ms`, if there is a deadline.
 std::string UpstreamRequestHead(const CallerRequest& request, const SendAttempt& attempt,
                                 std::optional<Duration> time_left);
 
-// How a relayed answer's body is framed towards the caller.
+// How the body of a relayed response is framed towards the caller.
 struct RelayFraming {
-  bool chunk = false;  // In chunks of the node's own.
-  bool close = false;  // The connection closes after it.
+  bool chunk = false;  // The proxy applies the chunked encoding.
+  bool close = false;  // The connection closes after the response.
 };
 
-// The head of a relayed answer.
+// Formats the head of a relayed response.
 std::string RelayedResponseHead(const ResponseHead& head, RelayFraming framing);
 
-// An answer of the node's own.
-struct OwnAnswer {
+// A response that the proxy generates itself.
+struct LocalResponse {
   ErrorKind kind = ErrorKind::kInternal;
   std::string cause;
   std::optional<std::uint32_t> retry_after_seconds = std::nullopt;  // Overrides the error table's.
   std::optional<RequestOutcome> outcome = std::nullopt;             // Overrides the error table's.
   bool close = false;
-  bool is_head = false;  // Answers HEAD: no body follows.
+  bool is_head = false;  // Responds to a HEAD request: no body follows.
 };
 
-// The whole message, head and body.
-std::string OwnAnswerMessage(const OwnAnswer& answer);
+// Formats the complete message, head and body.
+std::string LocalResponseMessage(const LocalResponse& answer);
 
-// What routing needs to know of a back end's answer.
+// Extracts the facts that routing needs from the head of a back end's response.
 AnswerHead ReadAnswerHead(const ResponseHead& head);
 
 }  // namespace copperlead
--- a/src/proxy/request_exchange.cc
+++ b/src/proxy/request_exchange.cc
@@ -15,7 +15,8 @@
 
 constexpr std::string_view kLineEnd = "\r\n";
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
-// Of all bodies held whole at once; beyond it, bodies are streamed and cannot be sent again.
+// Limit for all bodies held in memory at the same time. Further bodies are streamed and cannot be
+// sent again.
 constexpr std::uint64_t kMaxBufferedBytes = 16ULL * 1024 * 1024;
 
 Timestamp Now() { return SteadyClock().Now(); }
@@ -51,19 +52,19 @@
 
 RequestExchange::~RequestExchange() { context_.buffered_bytes -= reserved_bytes_; }
 
-ConnectionEnd RequestExchange::Refuse(ProxyContext& context, SocketStream& caller,
-                                      const RequestFault& fault) {
+ConnectionDisposition RequestExchange::Refuse(ProxyContext& context, SocketStream& caller,
+                                              const RequestFault& fault) {
   ++context.answered;
-  OwnAnswer answer;
+  LocalResponse answer;
   answer.kind = fault.kind;
   answer.cause = fault.cause;
   answer.close = true;
   const IoLimits limits{context.settings.idle_timeout, std::nullopt};
-  const IoStatus status = caller.Write({OwnAnswerMessage(answer)}, limits);
-  return status == IoStatus::kOk ? ConnectionEnd::kClose : ConnectionEnd::kBroken;
+  const IoStatus status = caller.Write({LocalResponseMessage(answer)}, limits);
+  return status == IoStatus::kOk ? ConnectionDisposition::kClose : ConnectionDisposition::kBroken;
 }
 
-ConnectionEnd RequestExchange::Run(const RequestHead& head) {
+ConnectionDisposition RequestExchange::Run(const RequestHead& head) {
   const Timestamp start = Now();
   RequestFault fault;
   const auto new_id = [this] { return context_.NewRequestId(); };
@@ -71,8 +72,8 @@
     return Refuse(context_, caller_, fault);
   }
   body_.emplace(caller_, request_);
-  if (const auto end = HoldSmallBody()) return *end;
-  request_.facts.body_can_be_resent = body_->held();
+  if (const auto end = BufferSmallBody()) return *end;
+  request_.facts.body_can_be_resent = body_->in_memory();
   if (request_.facts.time_left) {
     const auto spent = Now() - start;
     request_.facts.time_left = std::max(*request_.facts.time_left - spent, Duration::zero());
@@ -81,15 +82,15 @@
   return Decide();
 }
 
-std::optional<ConnectionEnd> RequestExchange::HoldSmallBody() {
+std::optional<ConnectionDisposition> RequestExchange::BufferSmallBody() {
   const bool small = request_.framing.kind == BodyKind::kLength &&
                      request_.framing.length <= context_.settings.buffer_limit;
   if (!small || !ReserveBuffer(request_.framing.length)) return std::nullopt;
   const Duration limit = context_.settings.header_timeout;
-  const BodyStep step = body_->ReadWhole({limit, Now() + limit});
+  const BodyStep step = body_->ReadAll({limit, Now() + limit});
   if (step.status == BodyStatus::kEnd) return std::nullopt;
   const bool too_slow = step.io == IoStatus::kTimeout || step.io == IoStatus::kDeadline;
-  if (!too_slow) return ConnectionEnd::kBroken;
+  if (!too_slow) return ConnectionDisposition::kBroken;
   return Refuse(context_, caller_, {ErrorKind::kBadRequest, "the body came too slowly"});
 }
 
@@ -102,23 +103,23 @@
   return true;
 }
 
-ConnectionEnd RequestExchange::Decide() {
+ConnectionDisposition RequestExchange::Decide() {
   RequestAction action = session_->Start(Now());
   for (;;) {
     if (const auto* const error = std::get_if<AnswerError>(&action)) {
-      return AnswerOwn({error->kind, error->cause, error->retry_after_seconds});
+      return SendLocalResponse({error->kind, error->cause, error->retry_after_seconds});
     }
     if (std::holds_alternative<RelayAnswer>(action)) return Relay();
     const SendAttempt attempt = std::get<SendAttempt>(action);
     if (!body_->can_be_sent()) {
-      return AnswerOwn({ErrorKind::kConnectionLost, "a part of the body was sent before"});
+      return SendLocalResponse({ErrorKind::kConnectionLost, "a part of the body was sent before"});
     }
     if (const auto end = RunAttempt(attempt, action)) return *end;
   }
 }
 
-std::optional<ConnectionEnd> RequestExchange::RunAttempt(const SendAttempt& action,
-                                                         RequestAction& next) {
+std::optional<ConnectionDisposition> RequestExchange::RunAttempt(const SendAttempt& action,
+                                                                 RequestAction& next) {
   const Timestamp now = Now();
   RecycleConnection();
   address_ = action.endpoint.address;
@@ -135,12 +136,12 @@
   LogError(LogLevel::kInfo, ErrorKind::kConnectionLost, ToString(address_), attempt_.cause);
   if (attempt_.end == AttemptResult::End::kCallerFault) {
     session_->OnFailure(Now(), AttemptFailure::kCallerGone);
-    OwnAnswer answer{ErrorKind::kBadRequest, attempt_.cause};
+    LocalResponse answer{ErrorKind::kBadRequest, attempt_.cause};
     if (attempt_.sent_anything) answer.outcome = RequestOutcome::kUnknown;
-    return AnswerOwn(std::move(answer));
+    return SendLocalResponse(std::move(answer));
   }
   next = session_->OnFailure(Now(), attempt_.failure);
-  if (attempt_.failure == AttemptFailure::kCallerGone) return ConnectionEnd::kBroken;
+  if (attempt_.failure == AttemptFailure::kCallerGone) return ConnectionDisposition::kBroken;
   return std::nullopt;
 }
 
@@ -148,24 +149,24 @@
   if (!attempt_.lease) return;
   SocketStream& stream = attempt_.lease->stream();
   const std::uint64_t rest = attempt_.framing.length;
-  const bool readable_whole =
+  const bool rest_is_buffered =
       attempt_.framing.kind == BodyKind::kNone ||
       (attempt_.framing.kind == BodyKind::kLength && rest <= stream.buffered().size());
-  if (readable_whole && ConnectionIsReusable()) {
+  if (rest_is_buffered && ConnectionIsReusable()) {
     stream.Consume(static_cast<std::size_t>(rest));
-    attempt_.lease->GiveBack(address_);
+    attempt_.lease->ReturnToPool(address_);
   }
   attempt_.lease.reset();
 }
 
 bool RequestExchange::ConnectionIsReusable() const {
-  return keep_connection_ && attempt_.request_sent_whole && attempt_.head.minor_version > 0 &&
+  return keep_connection_ && attempt_.request_sent_completely && attempt_.head.minor_version > 0 &&
          attempt_.framing.kind != BodyKind::kUntilClose &&
          !ListHolds(attempt_.head.fields, "Connection", "close");
 }
 
-ConnectionEnd RequestExchange::Relay() {
-  if (!attempt_.lease) return AnswerOwn({ErrorKind::kInternal, "no answer to pass on"});
+ConnectionDisposition RequestExchange::Relay() {
+  if (!attempt_.lease) return SendLocalResponse({ErrorKind::kInternal, "no answer to pass on"});
   const BodyKind kind = attempt_.framing.kind;
   const bool unknown_length = kind == BodyKind::kChunked || kind == BodyKind::kUntilClose;
   const bool chunk = unknown_length && request_.accepts_chunked;
@@ -175,7 +176,7 @@
   const BodyStatus status =
       RelayBody(reader, RelayedResponseHead(attempt_.head, {chunk, close}), chunk);
   if (status == BodyStatus::kEnd) return FinishRelay(true, close);
-  // Without a length or chunks, only a reset tells the caller that the answer is not whole.
+  // Without a length or chunks, only a reset shows the caller that the response is incomplete.
   if (until_close) caller_.ResetOnClose();
   return FinishRelay(false, true);
 }
@@ -184,7 +185,7 @@
   const IoLimits write_limits = CallerWriteLimits();
   for (;;) {
     IoLimits read_limits = AnswerReadLimits();
-    // The head goes out together with what has come of the body, but does not wait for it.
+    // Sends the head together with the part of the body that has arrived, without waiting for more.
     if (!head.empty()) read_limits.progress = Duration::zero();
     const BodyStep step = reader.Next(read_limits);
     const bool usable = step.status == BodyStatus::kPiece || step.status == BodyStatus::kEnd;
@@ -206,30 +207,31 @@
   }
 }
 
-ConnectionEnd RequestExchange::FinishRelay(bool whole, bool close) {
-  if (whole && ConnectionIsReusable()) attempt_.lease->GiveBack(address_);
+ConnectionDisposition RequestExchange::FinishRelay(bool complete, bool close) {
+  if (complete && ConnectionIsReusable()) attempt_.lease->ReturnToPool(address_);
   attempt_.lease.reset();
-  session_->OnFinished(Now(), whole);
-  if (!whole) {
-    LogError(LogLevel::kInfo, ErrorKind::kConnectionLost, ToString(address_), "answer cut");
-    return ConnectionEnd::kBroken;
+  session_->OnFinished(Now(), complete);
+  if (!complete) {
+    LogError(LogLevel::kInfo, ErrorKind::kConnectionLost, ToString(address_),
+             "response incomplete");
+    return ConnectionDisposition::kBroken;
   }
   ++context_.answered;
-  return close ? ConnectionEnd::kClose : ConnectionEnd::kKeep;
+  return close ? ConnectionDisposition::kClose : ConnectionDisposition::kKeep;
 }
 
-ConnectionEnd RequestExchange::AnswerOwn(OwnAnswer answer) {
+ConnectionDisposition RequestExchange::SendLocalResponse(LocalResponse answer) {
   attempt_.lease.reset();
   ++context_.answered;
   answer.is_head = request_.is_head;
   answer.close = MustClose();
-  const IoStatus status = caller_.Write({OwnAnswerMessage(answer)}, CallerWriteLimits());
-  if (status != IoStatus::kOk) return ConnectionEnd::kBroken;
-  return answer.close ? ConnectionEnd::kClose : ConnectionEnd::kKeep;
+  const IoStatus status = caller_.Write({LocalResponseMessage(answer)}, CallerWriteLimits());
+  if (status != IoStatus::kOk) return ConnectionDisposition::kBroken;
+  return answer.close ? ConnectionDisposition::kClose : ConnectionDisposition::kKeep;
 }
 
 bool RequestExchange::MustClose() const {
-  return !request_.keep_alive || context_.draining || !body_->taken();
+  return !request_.keep_alive || context_.draining || !body_->fully_read();
 }
 
 IoLimits RequestExchange::CallerWriteLimits() const {
--- a/src/proxy/request_exchange.h
+++ b/src/proxy/request_exchange.h
@@ -1,4 +1,4 @@
-// One request of a caller, from its head to the last byte of its answer.
+// One request of a caller, from its head to the last byte of its response.
 #pragma once
 
 #include <atomic>
@@ -15,7 +15,7 @@
 
 namespace copperlead {
 
-// What all connections share. Thread-safe.
+// State that all connections share. Thread-safe.
 struct ProxyContext {
   ProxyContext(const ProxySettings& proxy_settings, RequestDecider request_decider);
 
@@ -23,10 +23,10 @@
   const RequestDecider decider;
   UpstreamPool pool;
   std::atomic<std::uint64_t> answered = 0;
-  std::atomic<std::uint64_t> buffered_bytes = 0;  // Of all bodies held whole now.
+  std::atomic<std::uint64_t> buffered_bytes = 0;  // Size of all bodies currently held in memory.
   std::atomic<bool> draining = false;
 
-  // A request id for a caller that named none; unique over nodes by its random half.
+  // Creates a request id for a caller that sent none. Its random half makes it unique across nodes.
   std::string NewRequestId();
 
  private:
@@ -34,14 +34,14 @@
   std::atomic<std::uint64_t> next_id_ = 0;
 };
 
-// What becomes of the caller's connection after a request.
-enum class ConnectionEnd : std::uint8_t {
+// What happens to the caller's connection after a request.
+enum class ConnectionDisposition : std::uint8_t {
   kKeep,    // The next request may follow.
-  kClose,   // Everything was said; close in order.
-  kBroken,  // The answer was cut, or the caller left: close at once.
+  kClose,   // The response is complete; close in an orderly way.
+  kBroken,  // The response is incomplete, or the caller disconnected; close immediately.
 };
 
-// Runs in the connection's thread.
+// Serves one request. Runs in the connection's thread.
 class RequestExchange {
  public:
   RequestExchange(ProxyContext& context, SocketStream& caller);
@@ -49,28 +49,29 @@
   RequestExchange(const RequestExchange&) = delete;
   RequestExchange& operator=(const RequestExchange&) = delete;
 
-  ConnectionEnd Run(const RequestHead& head);
+  ConnectionDisposition Run(const RequestHead& head);
 
-  // Answers a caller whose request has no usable head.
-  static ConnectionEnd Refuse(ProxyContext& context, SocketStream& caller,
-                              const RequestFault& fault);
+  // Responds to a request that is refused before it is routed.
+  static ConnectionDisposition Refuse(ProxyContext& context, SocketStream& caller,
+                                      const RequestFault& fault);
 
  private:
-  ConnectionEnd Decide();
-  // Runs one attempt and asks the session what follows.
-  // @return the end of the exchange, if this was it.
-  std::optional<ConnectionEnd> RunAttempt(const SendAttempt& action, RequestAction& next);
-  // Keeps the connection of an answer that is not passed on, if no more of it has to be read.
+  ConnectionDisposition Decide();
+  // Runs one attempt and gets the next action from the session.
+  // @return what to do with the connection, if the attempt ended the exchange.
+  std::optional<ConnectionDisposition> RunAttempt(const SendAttempt& action, RequestAction& next);
+  // Discards a response that is not relayed. Returns its connection to the pool if the rest of the
+  // response is already buffered.
   void RecycleConnection();
-  ConnectionEnd Relay();
-  // Passes the body on, after `head`.
-  // @return how the answer ended.
+  ConnectionDisposition Relay();
+  // Relays the body, preceded by `head`.
+  // @return how the response ended.
   BodyStatus RelayBody(BodyReader& reader, std::string head, bool chunk);
-  ConnectionEnd FinishRelay(bool whole, bool close);
-  ConnectionEnd AnswerOwn(OwnAnswer answer);
+  ConnectionDisposition FinishRelay(bool complete, bool close);
+  ConnectionDisposition SendLocalResponse(LocalResponse answer);
   // Reads a small body into memory, so that it can be sent again.
-  // @return the end of the exchange when that failed.
-  std::optional<ConnectionEnd> HoldSmallBody();
+  // @return what to do with the connection, if that failed.
+  std::optional<ConnectionDisposition> BufferSmallBody();
   bool ReserveBuffer(std::uint64_t bytes);
   bool ConnectionIsReusable() const;
   bool MustClose() const;
@@ -83,10 +84,10 @@
   std::optional<RequestBody> body_;
   std::unique_ptr<RequestSession> session_;
   std::uint64_t reserved_bytes_ = 0;
-  // Of the attempt that runs or was answered.
+  // Result and back end of the current attempt, or of the one that was answered.
   AttemptResult attempt_;
   SocketAddress address_;
-  bool keep_connection_ = true;  // Whether the back end's connection may be kept afterwards.
+  bool keep_connection_ = true;  // Whether the connection to the back end may be pooled afterwards.
   Duration progress_timeout_{};
   std::optional<Timestamp> deadline_;
 };
--- a/src/proxy/socket_stream.cc
+++ b/src/proxy/socket_stream.cc
@@ -134,7 +134,7 @@
   }
 }
 
-bool SocketStream::IsQuiet() const {
+bool SocketStream::IsIdleAndOpen() const {
   if (begin_ != end_) return false;
   char byte = 0;
   return recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN;
--- a/src/proxy/upstream_attempt.cc
+++ b/src/proxy/upstream_attempt.cc
@@ -13,7 +13,7 @@
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 constexpr std::string_view kLineEnd = "\r\n";
-constexpr int kMaxInterimAnswers = 16;
+constexpr int kMaxInterimResponses = 16;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
     : caller_(caller),
       reader_(caller, request.framing),
       chunked_(request.framing.kind == BodyKind::kChunked),
-      held_(request.framing.kind == BodyKind::kNone),
+      in_memory_(request.framing.kind == BodyKind::kNone),
       expects_continue_(request.expects_continue) {}
 
 IoStatus RequestBody::Start(const IoLimits& limits) {
@@ -29,10 +29,10 @@
   return caller_.Write({kContinue}, limits);
 }
 
-BodyStep RequestBody::ReadWhole(const IoLimits& limits) {
+BodyStep RequestBody::ReadAll(const IoLimits& limits) {
   for (;;) {
     const BodyStep step = Next(limits);
-    if (step.status == BodyStatus::kEnd) held_ = true;
+    if (step.status == BodyStatus::kEnd) in_memory_ = true;
     if (step.status != BodyStatus::kPiece) return step;
     content_.append(step.piece);
   }
@@ -57,12 +57,12 @@
 AttemptResult UpstreamAttempt::Run() {
   result_.lease = pool_.Acquire(action_.endpoint.address, action_.allow_idle_connection, deadline_);
   if (!result_.lease) {
-    result_.cause = "no connection";
+    result_.cause = "cannot connect to the back end";
     return std::move(result_);
   }
   written_before_ = result_.lease->stream().bytes_written();
-  const bool sent = body_.held() ? WriteHeldBody() : WriteStreamedBody();
-  result_.request_sent_whole = sent && !answer_came_early_;
+  const bool sent = body_.in_memory() ? WriteBufferedBody() : WriteStreamedBody();
+  result_.request_sent_completely = sent && !answer_came_early_;
   if (sent && ReadAnswer()) result_.end = AttemptResult::End::kAnswered;
   result_.sent_anything = result_.lease->stream().bytes_written() > written_before_;
   if (result_.end != AttemptResult::End::kAnswered) result_.lease.reset();
@@ -71,7 +71,8 @@
 
 IoLimits UpstreamAttempt::UploadLimits() const {
   IoLimits limits{action_.progress_timeout, deadline_};
-  limits.watched_fd = caller_.fd;  // Only a caller that is gone for good ends an upload's write.
+  // No events: a caller that shuts down only its sending side does not end a write.
+  limits.watched_fd = caller_.fd;
   limits.stop_when_readable = true;
   return limits;
 }
@@ -95,26 +96,26 @@
   return UpstreamRequestHead(request_, action_, left);
 }
 
-bool UpstreamAttempt::WriteHeldBody() {
+bool UpstreamAttempt::WriteBufferedBody() {
   const std::string head = RequestHeadText();
   const std::string& content = body_.content();
-  if (!body_.chunked()) return WriteUpstream({head, content}, "writing the request");
-  if (content.empty()) return WriteUpstream({head, kLastChunk}, "writing the request");
+  if (!body_.chunked()) return WriteUpstream({head, content}, "failed while writing the request");
+  if (content.empty()) return WriteUpstream({head, kLastChunk}, "failed while writing the request");
   const std::string opening = head + ChunkSizeLine(content.size()).text();
   const std::string closing = std::string(kLineEnd) + std::string(kLastChunk);
-  return WriteUpstream({opening, content, closing}, "writing the request");
+  return WriteUpstream({opening, content, closing}, "failed while writing the request");
 }
 
 bool UpstreamAttempt::WriteStreamedBody() {
-  if (!WriteUpstream({RequestHeadText()}, "writing the request")) return false;
+  if (!WriteUpstream({RequestHeadText()}, "failed while writing the request")) return false;
   while (!answer_came_early_) {
     const BodyStep step = body_.Next(CallerBodyLimits());
     if (step.status == BodyStatus::kPiece) {
       if (!WritePiece(step.piece)) return false;
     } else if (step.status == BodyStatus::kEnd) {
-      return !body_.chunked() || WriteUpstream({kLastChunk}, "writing the body");
+      return !body_.chunked() || WriteUpstream({kLastChunk}, "failed while writing the body");
     } else if (step.io == IoStatus::kWatched) {
-      TakeEarlyBytes();
+      ReadEarlyBytes();
     } else {
       return FailCaller(step);
     }
@@ -123,19 +124,19 @@
 }
 
 bool UpstreamAttempt::WritePiece(std::string_view piece) {
-  if (!body_.chunked()) return WriteUpstream({piece}, "writing the body");
+  if (!body_.chunked()) return WriteUpstream({piece}, "failed while writing the body");
   const ChunkSizeLine size(piece.size());
-  return WriteUpstream({size.view(), piece, kLineEnd}, "writing the body");
+  return WriteUpstream({size.view(), piece, kLineEnd}, "failed while writing the body");
 }
 
 bool UpstreamAttempt::WriteUpstream(std::initializer_list<std::string_view> pieces,
-                                    std::string_view doing) {
+                                    std::string_view cause) {
   SocketStream& stream = result_.lease->stream();
   const std::uint64_t before = stream.bytes_written();
   IoStatus status = stream.Write(pieces, UploadLimits());
   std::string joined;
   while (status == IoStatus::kReadable) {
-    TakeEarlyBytes();
+    ReadEarlyBytes();
     if (answer_came_early_) return true;
     if (joined.empty()) {
       for (const auto& piece : pieces) joined.append(piece);
@@ -145,14 +146,14 @@
   }
   const bool wrote = stream.bytes_written() > written_before_;
   if (status == IoStatus::kReset && wrote) {
-    // A back end that refuses an upload may have answered before it closed.
+    // A back end that refuses an upload may have sent its response before it closed.
     answer_came_early_ = true;
     return true;
   }
-  return status == IoStatus::kOk || Fail(status, doing);
+  return status == IoStatus::kOk || Fail(status, cause);
 }
 
-void UpstreamAttempt::TakeEarlyBytes() {
+void UpstreamAttempt::ReadEarlyBytes() {
   SocketStream& stream = result_.lease->stream();
   const IoStatus status = stream.full() ? IoStatus::kOk : stream.Fill(AnswerLimits());
   const std::string_view bytes = stream.buffered();
@@ -168,19 +169,19 @@
 
 bool UpstreamAttempt::ReadAnswer() {
   SocketStream& stream = result_.lease->stream();
-  for (int interim = 0; interim <= kMaxInterimAnswers;) {
+  for (int interim = 0; interim <= kMaxInterimResponses;) {
     if (!ParseAnswer()) {
       if (bad_answer_) return false;
-      if (stream.full()) return BadAnswer("answer's head too large");
+      if (stream.full()) return BadAnswer("response head too large");
       const IoStatus status = stream.Fill(AnswerLimits());
-      if (status != IoStatus::kOk) return Fail(status, "waiting for the answer");
+      if (status != IoStatus::kOk) return Fail(status, "failed while waiting for the response");
       continue;
     }
-    if (result_.head.status == 101) return BadAnswer("unasked switch of protocols");
+    if (result_.head.status == 101) return BadAnswer("unsolicited 101 Switching Protocols");
     if (result_.head.status >= 200) return true;
     ++interim;
   }
-  return BadAnswer("too many interim answers");
+  return BadAnswer("too many interim responses");
 }
 
 bool UpstreamAttempt::ParseAnswer() {
@@ -204,7 +205,7 @@
   return false;
 }
 
-bool UpstreamAttempt::Fail(IoStatus status, std::string_view doing) {
+bool UpstreamAttempt::Fail(IoStatus status, std::string_view cause) {
   const bool wrote = result_.lease->stream().bytes_written() > written_before_;
   if (status == IoStatus::kWatched) {
     result_.failure = AttemptFailure::kCallerGone;
@@ -217,16 +218,16 @@
   } else {
     result_.failure = AttemptFailure::kLostAfterWrite;
   }
-  result_.cause = std::string(doing);
+  result_.cause = std::string(cause);
   return false;
 }
 
 bool UpstreamAttempt::FailCaller(const BodyStep& step) {
   if (step.status == BodyStatus::kFailed && step.io == IoStatus::kDeadline) {
-    return Fail(IoStatus::kDeadline, "waiting for the caller's body");
+    return Fail(IoStatus::kDeadline, "deadline passed while waiting for the caller's body");
   }
   if (step.status == BodyStatus::kFailed && step.io != IoStatus::kTimeout) {
-    return Fail(IoStatus::kWatched, "the caller left during its body");
+    return Fail(IoStatus::kWatched, "caller disconnected while sending its body");
   }
   result_.end = AttemptResult::End::kCallerFault;
   result_.cause =
--- a/src/proxy/upstream_attempt.h
+++ b/src/proxy/upstream_attempt.h
@@ -1,4 +1,4 @@
-// One attempt: a request written to one back end, until the head of its answer or a failure.
+// One attempt: writes a request to one back end and reads the head of the response.
 #pragma once
 
 #include <cstdint>
@@ -13,22 +13,22 @@
 
 namespace copperlead {
 
-// The caller's body: held whole, or still to be read off the caller's connection.
+// The body of a caller's request, which is held in memory or read from the caller's connection.
 class RequestBody {
  public:
   RequestBody(SocketStream& caller, const CallerRequest& request);
 
-  // Reads the whole body into memory.
-  // @return the step that ended it: kEnd when it is there.
-  BodyStep ReadWhole(const IoLimits& limits);
-  bool held() const { return held_; }
+  // Reads the complete body into memory.
+  // @return the last step: kEnd on success.
+  BodyStep ReadAll(const IoLimits& limits);
+  bool in_memory() const { return in_memory_; }
   const std::string& content() const { return content_; }
-  // Streamed bodies: the next piece. Sends "100 Continue" first when the caller waits for it.
+  // Reads the next piece of the body. Sends "100 Continue" first when the caller waits for it.
   BodyStep Next(const IoLimits& limits);
-  // A body that was read in part cannot be sent to another back end.
-  bool can_be_sent() const { return held_ || !started_; }
-  // Nothing of it is left on the caller's connection.
-  bool taken() const { return reader_.ended(); }
+  // A streamed body that was read in part cannot be sent to another back end.
+  bool can_be_sent() const { return in_memory_ || !started_; }
+  // The body has been read to its end from the caller's connection.
+  bool fully_read() const { return reader_.ended(); }
   bool chunked() const { return chunked_; }
 
  private:
@@ -38,7 +38,7 @@
   BodyReader reader_;
   std::string content_;
   bool chunked_;
-  bool held_ = false;
+  bool in_memory_ = false;
   bool started_ = false;
   bool expects_continue_;
 };
@@ -46,8 +46,8 @@
 struct AttemptResult {
   enum class End : std::uint8_t {
     kAnswered,    // `head`, `framing` and `lease` are set.
-    kFailed,      // See `failure`.
-    kCallerFault  // The caller's body was malformed, cut or too slow: see `cause`.
+    kFailed,      // `failure` holds the reason.
+    kCallerFault  // The caller's body was malformed or too slow; see `cause`.
   };
   End end = End::kFailed;
   AttemptFailure failure = AttemptFailure::kConnectFailed;
@@ -56,13 +56,14 @@
   ResponseHead head;
   BodyFraming framing;
   std::unique_ptr<UpstreamPool::Lease> lease;
-  bool request_sent_whole = false;  // False when the answer came before the end of the body.
+  // False when the response began before the end of the body.
+  bool request_sent_completely = false;
 };
 
-// Bounds of the caller's side of an attempt.
+// Limits for the caller's side of an attempt.
 struct CallerLimits {
-  int fd = -1;             // Watched: a caller that leaves ends the attempt.
-  Duration body_progress;  // Longest wait for more of its body.
+  int fd = -1;             // Watched: the attempt ends when the caller disconnects.
+  Duration body_progress;  // Longest wait for more of the caller's body.
 };
 
 // Runs one attempt in the calling thread.
@@ -76,21 +77,21 @@
 
  private:
   std::string RequestHeadText() const;
-  bool WriteHeldBody();
+  bool WriteBufferedBody();
   bool WriteStreamedBody();
   bool WritePiece(std::string_view piece);
-  // Writes to the back end; takes in what it sends meanwhile.
-  bool WriteUpstream(std::initializer_list<std::string_view> pieces, std::string_view doing);
-  // The back end sent something before the request was written. Sets answer_came_early_ unless it
-  // was an interim answer.
-  void TakeEarlyBytes();
+  // Writes to the back end and reads what it sends in the meantime.
+  bool WriteUpstream(std::initializer_list<std::string_view> pieces, std::string_view cause);
+  // Handles input that arrives before the request is fully written. Sets answer_came_early_ unless
+  // it is an interim response.
+  void ReadEarlyBytes();
   bool ReadAnswer();
-  // Takes the next head off the buffer. @return false when it is not there whole yet, or bad.
+  // Parses the next head in the buffer. @return false when the head is incomplete or malformed.
   bool ParseAnswer();
   IoLimits UploadLimits() const;
   IoLimits AnswerLimits() const;
   IoLimits CallerBodyLimits() const;
-  bool Fail(IoStatus status, std::string_view doing);
+  bool Fail(IoStatus status, std::string_view cause);
   bool FailCaller(const BodyStep& step);
   bool BadAnswer(std::string cause);
 
@@ -100,7 +101,7 @@
   const SendAttempt& action_;
   const std::optional<Timestamp> deadline_;
   const CallerLimits caller_;
-  std::uint64_t written_before_ = 0;  // By earlier requests of the connection.
+  std::uint64_t written_before_ = 0;  // Bytes written by earlier requests of the connection.
   bool answer_came_early_ = false;
   bool bad_answer_ = false;
   AttemptResult result_;
--- a/src/proxy/upstream_pool.cc
+++ b/src/proxy/upstream_pool.cc
@@ -17,7 +17,8 @@
 
 Timestamp Now() { return SteadyClock().Now(); }
 
-// @return the size of the system's form of `address`; 0 when it is not numeric.
+// Converts `address` for the socket API. @return the size of the result; 0 when `address.ip` is not
+// numeric.
 socklen_t ToSystemAddress(const SocketAddress& address, sockaddr_storage& storage) {
   auto* const ipv4 = reinterpret_cast<sockaddr_in*>(&storage);
   if (inet_pton(AF_INET, address.ip.c_str(), &ipv4->sin_addr) == 1) {
@@ -32,7 +33,7 @@
   return sizeof(sockaddr_in6);
 }
 
-// Waits for the outcome of a connect in progress.
+// Waits for a connect in progress. @return true when it succeeds before `end`.
 bool AwaitConnected(int fd, Timestamp end) {
   for (;;) {
     const auto left = std::chrono::duration_cast<Milliseconds>(end - Now()).count() + 1;
@@ -59,8 +60,8 @@
   --pool_.open_connections_;
 }
 
-void UpstreamPool::Lease::GiveBack(const SocketAddress& address) {
-  if (!stream_->IsQuiet()) return;
+void UpstreamPool::Lease::ReturnToPool(const SocketAddress& address) {
+  if (!stream_->IsIdleAndOpen()) return;
   stream_->ReleaseBuffer();
   const std::lock_guard lock(pool_.mutex_);
   auto& idle = pool_.idle_[address];
@@ -92,7 +93,7 @@
     if (now - connections.back().last_used > max_age) return nullptr;
     auto stream = std::move(connections.back().stream);
     connections.pop_back();
-    if (stream->IsQuiet()) return stream;
+    if (stream->IsIdleAndOpen()) return stream;
     --open_connections_;
   }
   return nullptr;
@@ -119,7 +120,7 @@
   last_expiry_ = now;
   for (auto entry = idle_.begin(); entry != idle_.end();) {
     const auto removed = std::erase_if(entry->second, [&](const IdleConnection& connection) {
-      return now - connection.last_used > kMaxIdle || !connection.stream->IsQuiet();
+      return now - connection.last_used > kMaxIdle || !connection.stream->IsIdleAndOpen();
     });
     open_connections_ -= removed;
     entry = entry->second.empty() ? idle_.erase(entry) : std::next(entry);
--- a/src/proxy/upstream_pool.h
+++ b/src/proxy/upstream_pool.h
@@ -1,4 +1,4 @@
-// Connections to back ends: opens new ones and keeps whole, quiet ones for the next request.
+// Connections to back ends. Opens new ones and keeps idle, reusable ones for later requests.
 #pragma once
 
 #include <cstddef>
@@ -21,7 +21,8 @@
  public:
   explicit UpstreamPool(Duration connect_timeout) : connect_timeout_(connect_timeout) {}
 
-  // One connection, used by one thread. Closes when destroyed, unless given back.
+  // One connection, used by a single thread. The destructor closes it unless it was returned to the
+  // pool.
   class Lease {
    public:
     Lease(UpstreamPool& pool, std::unique_ptr<SocketStream> stream);
@@ -29,30 +30,32 @@
     Lease(const Lease&) = delete;
     Lease& operator=(const Lease&) = delete;
     SocketStream& stream() { return *stream_; }
-    // Gives the connection back for the next request. Only when the last answer was read whole.
-    void GiveBack(const SocketAddress& address);
+    // Returns the connection to the pool. Call it only after the last response was read completely.
+    void ReturnToPool(const SocketAddress& address);
 
    private:
     UpstreamPool& pool_;
     std::unique_ptr<SocketStream> stream_;
   };
 
-  // @param allow_idle false: a pooled connection must have been used within kRecentUse.
-  // @param deadline end of the caller's patience, if known.
-  // @return null when no connection could be made; nothing was written then.
+  // @param allow_idle when false, a pooled connection must have been used within kRecentUse.
+  // @param deadline time at which the caller stops waiting, if known.
+  // @return null when no connection could be established; nothing was written then.
   std::unique_ptr<Lease> Acquire(const SocketAddress& address, bool allow_idle,
                                  std::optional<Timestamp> deadline);
 
-  // Closes what has been idle for too long. Call often; acts once a second.
+  // Closes connections that have been idle for longer than kMaxIdle. May be called often; acts at
+  // most once a second.
   void CloseExpired(Timestamp now);
   // Closes every idle connection.
   void CloseIdle();
 
-  // Open or pooled now.
+  // Number of connections currently in use or pooled.
   std::uint64_t open_connections() const;
 
   static constexpr Duration kRecentUse = std::chrono::seconds(1);
-  // Below the 5 s after which common servers (cpp-httplib among them) close an idle connection.
+  // Shorter than the 5 s after which common servers (cpp-httplib among them) close an idle
+  // connection.
   static constexpr Duration kMaxIdle = std::chrono::seconds(4);
   static constexpr std::size_t kMaxIdlePerAddress = 8;
 
@@ -73,7 +76,7 @@
                                         std::optional<Timestamp> deadline) const;
 
   const Duration connect_timeout_;
-  mutable std::mutex mutex_;  // Guards what follows.
+  mutable std::mutex mutex_;  // Guards the members below.
   std::map<SocketAddress, std::vector<IdleConnection>, AddressOrder>
       idle_;  // Most recently used last.
   std::uint64_t open_connections_ = 0;
