--- a/src/base/address.h
+++ b/src/base/address.h
@@ -1,4 +1,4 @@
-// An IPv4 or IPv6 socket address in text form, as settings and the machine list give it.
+// Text form of IPv4 and IPv6 socket addresses, as used in settings and in the machine list.
 #pragma once
 
 #include <compare>
@@ -10,7 +10,7 @@
 
 namespace copperlead {
 
-// A numeric IP and a port. Value type; compares by text of the IP, then by port.
+// A numeric IP address and a port. Addresses compare by the text of the IP, then by the port.
 struct SocketAddress {
   std::string ip;
   std::uint16_t port = 0;
@@ -19,11 +19,12 @@
   bool empty() const { return ip.empty(); }
 };
 
-// Reads "IP:PORT" (IPv6 in brackets). Port 0 asks the system for a free port.
-// @return the address; kBadAddress naming the text when it is not a numeric address.
+// Parses "IP:PORT" (IPv6 in brackets). Port 0 lets the operating system choose a free port.
+// @return the address, or kBadAddress with the text as its place when the IP is not numeric or the
+//         port is not a number from 0 to 65535.
 Result<SocketAddress> ParseSocketAddress(std::string_view text);
 
-// @return "IP:PORT", the inverse of ParseSocketAddress.
+// @return "IP:PORT" (IPv6 in brackets), which ParseSocketAddress reads back.
 std::string ToString(const SocketAddress& address);
 
 }  // namespace copperlead
--- a/src/base/error.cc
+++ b/src/base/error.cc
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kKindCount = static_cast<std::size_t>(ErrorKind::kCount);
 
-// In the order of the enumeration; checked below.
+// The rows stand in the order of ErrorKind, which the static_assert below checks.
 constexpr std::array<ErrorAnswer, kKindCount> kAnswers = {{
     {ErrorKind::kBadSetting, "bad_setting", 0, RequestOutcome::kNone, 0, 2},
     {ErrorKind::kBadAddress, "bad_address", 0, RequestOutcome::kNone, 0, 2},
@@ -61,13 +61,13 @@
     {ErrorKind::kInternal, "internal", 500, RequestOutcome::kUnknown, 0, 1},
 }};
 
-constexpr bool RowsFollowTheEnumeration() {
+constexpr bool RowsMatchEnumOrder() {
   for (std::size_t index = 0; index < kKindCount; ++index) {
     if (static_cast<std::size_t>(kAnswers[index].kind) != index) return false;
   }
   return true;
 }
-static_assert(RowsFollowTheEnumeration());
+static_assert(RowsMatchEnumOrder());
 
 }  // namespace
 
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,7 +1,7 @@
-// The closed list of error kinds, and the one table from a kind to the answer it gets.
+// The complete list of error kinds, and the table that maps each kind to its response.
 //
-// Every failure in the system, whether it reaches a caller, an operator or only a log, has one of
-// these kinds. Nothing else maps errors to HTTP statuses or exit codes.
+// Every failure that is returned to a caller, shown to an operator or logged has one of these
+// kinds. No other code maps errors to HTTP statuses or exit codes.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +11,18 @@
 namespace copperlead {
 
 enum class ErrorKind : std::uint8_t {
-  // Settings and start-up.
+  // Errors in the settings and at start-up.
   kBadSetting,
   kBadAddress,
   kAddressInUse,
   kUnreadableFile,
-  // The platform's services.
+  // Errors of the platform's services (configuration and machine list).
   kSourceUnreachable,
   kSourceTimeout,
   kSourceBadAnswer,
   kOversized,
   kMalformedJson,
-  // The table.
+  // Errors in the routing table.
   kMalformedCsv,
   kMissingColumn,
   kUnknownColumn,
@@ -35,17 +35,17 @@
   kUnknownService,
   kUnknownSecret,
   kBadEncoding,
-  // Versions.
+  // Errors in document versions.
   kRevisionBehind,
   kRevisionConflict,
   kIncomplete,
   kDigestMismatch,
   kUnknownBase,
-  // Frames between nodes.
+  // Errors in frames between nodes.
   kBadFrame,
   kFrameTooLarge,
   kUnsealFailed,
-  // Requests.
+  // Errors of requests.
   kBadRequest,
   kHeadersTooLarge,
   kNoRoute,
@@ -61,39 +61,40 @@
   kResponseTimeout,
   kDeadlineAfterSend,
   kCallerGone,
-  // The toolbox.
+  // Errors of the command line tools.
   kUsage,
   kUnreachable,
   kNotSo,
   kImpossiblePlan,
   kInternal,
-  kCount,  // Number of kinds; not a kind.
+  kCount,  // Number of error kinds; not an error kind itself.
 };
 
-// What a caller may conclude from an answer that the node itself made.
+// Tells a caller whether its request may have run, in a response that the node itself generates.
 enum class RequestOutcome : std::uint8_t {
-  kNone,     // The kind never reaches a caller.
-  kNotRun,   // No back end ran the request: safe to send again, whatever the method.
-  kUnknown,  // A back end may have run it.
+  kNone,     // Errors of this kind are never returned to a caller.
+  kNotRun,   // No back end ran the request, so any method can safely be retried.
+  kUnknown,  // A back end may have run the request.
 };
 
-// One row of the table: how a kind of error is answered.
+// One row of the table: the HTTP response and the exit code for one kind of error.
 struct ErrorAnswer {
   ErrorKind kind;
-  std::string_view name;    // snake_case; in logs, metrics and the answer's body.
-  int http_status;          // 0: never answered over HTTP.
-  RequestOutcome outcome;   // The `copperlead-outcome` header.
-  int retry_after_seconds;  // The `Retry-After` header; 0: none.
-  int exit_code;            // Of the toolbox and of a failed start.
+  std::string_view name;    // In snake_case, for logs, metrics and the response body.
+  int http_status;          // 0 when the kind is never returned over HTTP.
+  RequestOutcome outcome;   // Value of the `copperlead-outcome` header.
+  int retry_after_seconds;  // Value of the `Retry-After` header; 0 for none.
+  int exit_code;            // Exit code of the command line tools and of a failed start.
 };
 
-// @return the row of `kind`. Never fails; any thread.
+// @return the row of `kind`, or the row of kInternal for a value outside the enumeration.
+//         Thread-safe.
 const ErrorAnswer& AnswerFor(ErrorKind kind);
 
-// @return the kind's snake_case name.
+// @return the snake_case name of the kind.
 std::string_view Name(ErrorKind kind);
 
-// @return "not-run" or "unknown"; empty for kNone.
+// @return "not-run" or "unknown", or an empty text for kNone.
 std::string_view Name(RequestOutcome outcome);
 
 }  // namespace copperlead
--- a/src/base/logging.cc
+++ b/src/base/logging.cc
@@ -14,16 +14,16 @@
 constexpr auto kRepeatInterval = std::chrono::seconds(1);
 constexpr std::size_t kMaxTrackedCauses = 1024;
 
-// How often one cause was logged lately.
+// When a line was last written for one cause, and how many were suppressed since then.
 struct CauseHistory {
   std::chrono::steady_clock::time_point last_written;
-  std::uint64_t left_out = 0;
+  std::uint64_t suppressed = 0;
 };
 
 struct LoggingState {
   std::mutex mutex;
   bool json = false;
-  std::map<std::string, CauseHistory> causes;  // Guarded by mutex.
+  std::map<std::string, CauseHistory> causes;  // Guarded by `mutex`.
 };
 
 LoggingState& State() {
@@ -55,7 +55,7 @@
   return spdlog::level::err;
 }
 
-// @return `text` as the inside of a JSON string; control characters become \u00XX.
+// @return `text` escaped for use inside a JSON string; control characters become \u00XX.
 std::string EscapeJson(std::string_view text) {
   std::string escaped;
   for (const char character : text) {
@@ -71,7 +71,8 @@
   return escaped;
 }
 
-// @return `text` on one line, so that a caller's bytes cannot forge a log line.
+// @return `text` with control characters escaped as \xXX, which keeps it on one line, so that text
+//         from a caller cannot forge a log line.
 std::string EscapeText(std::string_view text) {
   std::string escaped;
   for (const char character : text) {
@@ -92,7 +93,7 @@
   }
 }
 
-std::string LineStart(bool json, LogLevel level, std::string_view message) {
+std::string FormatLinePrefix(bool json, LogLevel level, std::string_view message) {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
   const auto level_name = spdlog::level::to_string_view(ToSpdlog(level));
@@ -104,8 +105,10 @@
                      EscapeText(message));
 }
 
-// @return how many lines of this cause were left out since the last one; -1: leave this one out.
-std::int64_t AdmitCause(const std::string& cause) {
+// Limits the lines of one cause to one per kRepeatInterval.
+// @return the number of lines of this cause that were suppressed since the last one written, or
+//         -1 when this line is to be suppressed as well.
+std::int64_t CountSuppressed(const std::string& cause) {
   auto& state = State();
   const auto now = std::chrono::steady_clock::now();
   const std::lock_guard lock(state.mutex);
@@ -113,12 +116,12 @@
   const auto [found, inserted] = state.causes.try_emplace(cause);
   auto& history = found->second;
   if (!inserted && now - history.last_written < kRepeatInterval) {
-    ++history.left_out;
+    ++history.suppressed;
     return -1;
   }
-  const auto left_out = static_cast<std::int64_t>(history.left_out);
+  const auto suppressed = static_cast<std::int64_t>(history.suppressed);
   history = {now, 0};
-  return left_out;
+  return suppressed;
 }
 
 }  // namespace
@@ -132,23 +135,23 @@
   const auto logger = Logger();
   if (!logger->should_log(ToSpdlog(level))) return;
   const bool json = State().json;
-  std::string line = LineStart(json, level, message);
+  std::string line = FormatLinePrefix(json, level, message);
   for (const auto& field : fields) AppendField(line, json, field.name, field.value);
   if (json) line += "}";
   logger->log(ToSpdlog(level), spdlog::string_view_t(line));
 }
 
 void LogError(LogLevel level, ErrorKind kind, std::string_view place, std::string_view cause) {
-  const auto left_out = AdmitCause(std::string(Name(kind)) + '\n' + std::string(place));
-  if (left_out < 0) return;
-  if (left_out == 0) {
+  const auto suppressed = CountSuppressed(std::string(Name(kind)) + '\n' + std::string(place));
+  if (suppressed < 0) return;
+  if (suppressed == 0) {
     Log(level, cause, {{"kind", std::string(Name(kind))}, {"place", std::string(place)}});
     return;
   }
   Log(level, cause,
       {{"kind", std::string(Name(kind))},
        {"place", std::string(place)},
-       {"left_out", std::to_string(left_out)}});
+       {"left_out", std::to_string(suppressed)}});
 }
 
 }  // namespace copperlead
--- a/src/base/logging.h
+++ b/src/base/logging.h
@@ -1,4 +1,5 @@
-// Structured logs by spdlog: JSON or text lines with typed fields, limited per cause.
+// Structured logging with spdlog: JSON or text lines with named fields. Lines about failures are
+// rate-limited per error kind and place.
 #pragma once
 
 #include <initializer_list>
@@ -11,21 +12,21 @@
 
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
-// One named value of a log line.
+// A named value in a log line.
 struct LogField {
   std::string_view name;
   std::string value;
 };
 
-// Sets level ("debug", "info", "warning", "error") and format ("json", "text") of this process.
-// Call once, before threads start. Logs go to standard error.
+// Sets the log level ("debug", "info", "warning", "error") and the format ("json", "text") of this
+// process. Must be called once, before any thread starts. Logs go to standard error.
 void ConfigureLogging(std::string_view level, std::string_view format);
 
-// Writes one line. Any thread.
+// Writes one line. Thread-safe.
 void Log(LogLevel level, std::string_view message, std::initializer_list<LogField> fields = {});
 
-// Writes one line about a failure; at most one per kind and place in each second, and the next one
-// says how many were left out. Any thread.
+// Writes one line about a failure. At most one line per kind and place is written each second; the
+// next line written reports how many were suppressed. Thread-safe.
 void LogError(LogLevel level, ErrorKind kind, std::string_view place, std::string_view cause);
 
 }  // namespace copperlead
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -1,8 +1,8 @@
-// Results and errors, carried by Boost.LEAF.
+// Results and errors, based on Boost.LEAF.
 //
-// A function that can fail returns Result<T> and reports the cause with Fail(). The caller either
-// passes it on (BOOST_LEAF_AUTO / BOOST_LEAF_CHECK) or ends the chain with Resolve(), which gives
-// a plain value: LEAF stores error objects only while a handler is in scope.
+// A function that can fail returns Result<T> and reports the error with Fail(). The caller either
+// propagates it (BOOST_LEAF_AUTO / BOOST_LEAF_CHECK) or handles it with Resolve(), which returns a
+// plain Outcome. LEAF keeps error objects only while an error handler is in scope.
 #pragma once
 
 #include <boost/leaf/error.hpp>
@@ -19,19 +19,19 @@
 template <class T>
 using Result = boost::leaf::result<T>;
 
-// One failure: what kind, where (file, row and column, address, setting), and why in plain words.
+// A failure: its kind, its place (file, row and column, address or setting) and its cause in words.
 struct Error {
   ErrorKind kind = ErrorKind::kInternal;
   std::string place;
   std::string cause;
 };
 
-// Reports a failure. Use as `return Fail(ErrorKind::kBadSetting, "--listen", "not an IP:PORT");`
+// Reports a failure. Usage: `return Fail(ErrorKind::kBadSetting, "--listen", "not an IP:PORT");`
 inline boost::leaf::error_id Fail(ErrorKind kind, std::string place, std::string cause) {
   return boost::leaf::new_error(Error{kind, std::move(place), std::move(cause)});
 }
 
-// A value or the error that took its place, free of LEAF's scopes.
+// Holds either a value or an error, and can be used outside of LEAF's error handling scopes.
 template <class T>
 struct Outcome {
   std::variant<Error, T> content;
@@ -43,8 +43,8 @@
   const Error& error() const { return std::get<0>(content); }
 };
 
-// Runs `function` (returning Result<T>) and ends its chain of errors.
-// @return the value, or the reported Error; kInternal for a failure reported without one.
+// Calls `function`, which returns a Result<T>, and handles its error.
+// @return the value or the reported Error; kInternal for a failure that was reported without one.
 template <class Function>
 auto Resolve(Function&& function) {
   using T = std::decay_t<decltype(std::forward<Function>(function)().value())>;
@@ -57,15 +57,16 @@
       },
       [](const Error& error) { return Outcome<T>{Content(std::in_place_index<0>, error)}; },
       [] {
-        const Error unnamed{ErrorKind::kInternal, "", "error without a cause"};
-        return Outcome<T>{Content(std::in_place_index<0>, unnamed)};
+        const Error unspecified{ErrorKind::kInternal, "", "error without a cause"};
+        return Outcome<T>{Content(std::in_place_index<0>, unspecified)};
       });
 }
 
-// The value of a function that either works or fails; LEAF's result<void> has none to resolve.
+// The value type of a function that succeeds without a value. Resolve() needs a value, which
+// LEAF's result<void> lacks.
 struct Done {};
 
-// @return "kind: place: cause", for logs and command lines.
+// @return "kind: place: cause" without the parts that are empty, for logs and command line output.
 std::string ToString(const Error& error);
 
 }  // namespace copperlead
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,5 +1,5 @@
-// Time as the deciding code sees it. Deciding code never reads a clock: a `Timestamp` is handed to
-// each step, so the same code runs in the daemon (steady clock) and in the simulator (virtual
+// Time types and clocks. Decision logic never reads a clock; each step receives a `Timestamp` as a
+// parameter, so the same code runs in the daemon (steady clock) and in the simulator (virtual
 // time).
 #pragma once
 
@@ -12,17 +12,17 @@
 using Duration = std::chrono::microseconds;
 using Milliseconds = std::chrono::milliseconds;
 
-// A point on a monotonic time line. Its origin has no meaning; only differences do.
+// A point in monotonic time. The origin is arbitrary; only differences are meaningful.
 using Timestamp = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-// Source of monotonic time for the thin shells around deciding code. Thread-safe.
+// A source of monotonic time for the code that calls the decision logic. Thread-safe.
 class Clock {
  public:
   virtual ~Clock() = default;
   virtual Timestamp Now() const = 0;
 };
 
-// Reads one of the operating system's clocks, since the machine's start.
+// @return the current time of one of the operating system's clocks, such as CLOCK_BOOTTIME.
 inline Duration ReadClock(clockid_t clock) {
   timespec read{};
   clock_gettime(clock, &read);
@@ -30,14 +30,15 @@
          std::chrono::duration_cast<Duration>(std::chrono::nanoseconds(read.tv_nsec));
 }
 
-// A steady clock that counts the time for which the machine was suspended, too: what a node was
-// told before must not look fresh after it. (std::chrono::steady_clock stands still meanwhile.)
+// A steady clock that includes the time for which the machine was suspended, so that information
+// received before a suspension does not appear recent after it. std::chrono::steady_clock does not
+// advance during a suspension.
 class SteadyClock : public Clock {
  public:
   Timestamp Now() const override { return Timestamp(ReadClock(CLOCK_BOOTTIME)); }
 };
 
-// For how long the machine has been suspended since its start.
+// @return the total time for which the machine has been suspended since it booted.
 inline Duration SuspendedTime() { return ReadClock(CLOCK_BOOTTIME) - ReadClock(CLOCK_MONOTONIC); }
 
 }  // namespace copperlead
--- a/tests/base/result_test.cc
+++ b/tests/base/result_test.cc
@@ -7,13 +7,13 @@
 namespace copperlead {
 namespace {
 
-TEST(ResolveTest, GivesTheValue) {
+TEST(ResolveTest, ReturnsTheValue) {
   const auto outcome = Resolve([] { return ParseSocketAddress("127.0.0.1:80"); });
   ASSERT_TRUE(outcome.ok());
   EXPECT_EQ(outcome.value(), (SocketAddress{"127.0.0.1", 80}));
 }
 
-TEST(ResolveTest, GivesTheErrorWithPlaceAndCause) {
+TEST(ResolveTest, ReturnsTheErrorWithKindAndPlace) {
   for (const char* text : {"127.0.0.1", "localhost:80", "127.0.0.1:65536", "127.0.0.1:", ":80"}) {
     const auto outcome = Resolve([&] { return ParseSocketAddress(text); });
     ASSERT_FALSE(outcome.ok()) << text;
@@ -22,7 +22,7 @@
   }
 }
 
-TEST(AddressTest, WritesWhatItReads) {
+TEST(AddressTest, FormattingReversesParsing) {
   for (const char* text : {"127.0.0.1:80", "[::1]:9000"}) {
     EXPECT_EQ(ToString(Resolve([&] { return ParseSocketAddress(text); }).value()), text);
   }
