--- a/src/snapshot/base64.h
+++ b/src/snapshot/base64.h
@@ -1,4 +1,4 @@
-// Base64 (RFC 4648 section 4, with padding), strict. Internal to snapshot/.
+// Strict decoding of Base64 (RFC 4648 section 4, with padding). Internal to snapshot/.
 #pragma once
 
 #include <optional>
@@ -7,7 +7,8 @@
 
 namespace copperlead {
 
-// @return the decoded bytes; nothing when the text holds anything but whole, padded groups.
+// @return the decoded bytes, or nullopt when the text is not made of complete, padded groups of
+//         four characters.
 std::optional<std::string> DecodeBase64(std::string_view text);
 
 }  // namespace copperlead
--- a/src/snapshot/bundle.cc
+++ b/src/snapshot/bundle.cc
@@ -9,21 +9,21 @@
 namespace copperlead {
 namespace {
 
-// Adds every name of `names` that `target` lacks and `running` has.
+// Copies the entry `name` from `running` to `target` when `target` lacks it and `running` has it.
 template <class Value>
-void KeepNamed(const std::string& name, std::map<std::string, Value>& target,
-               const std::map<std::string, Value>& running) {
+void RetainReferenced(const std::string& name, std::map<std::string, Value>& target,
+                      const std::map<std::string, Value>& running) {
   if (target.contains(name)) return;
   const auto found = running.find(name);
   if (found != running.end()) target.insert(*found);
 }
 
-std::uint64_t ContentOfBundle(const Bundle& bundle) {
+std::uint64_t ContentHashOfBundle(const Bundle& bundle) {
   DocumentWriter writer;
-  writer.Bytes(bundle.table_digest);
+  writer.WriteRawBytes(bundle.table_digest);
   WriteServices(writer, bundle.services);
   WriteSecrets(writer, bundle.secrets);
-  return ContentOf(writer.Take());
+  return ContentHashOf(writer.Take());
 }
 
 }  // namespace
@@ -31,7 +31,7 @@
 void Seal(Bundle& bundle) {
   Canonicalize(bundle.table);
   bundle.table_digest = DigestOf(bundle.table);
-  bundle.version = {bundle.revision, bundle.resource_epoch, ContentOfBundle(bundle)};
+  bundle.version = {bundle.revision, bundle.resource_epoch, ContentHashOfBundle(bundle)};
 }
 
 std::vector<std::string> MissingNames(const Bundle& bundle) {
@@ -50,8 +50,8 @@
 
 void KeepNamedResources(Bundle& bundle, const Bundle& running) {
   for (const auto& row : bundle.table.rows) {
-    KeepNamed(row.service, bundle.services, running.services);
-    if (!row.secret.empty()) KeepNamed(row.secret, bundle.secrets, running.secrets);
+    RetainReferenced(row.service, bundle.services, running.services);
+    if (!row.secret.empty()) RetainReferenced(row.secret, bundle.secrets, running.secrets);
   }
 }
 
--- a/src/snapshot/compression.h
+++ b/src/snapshot/compression.h
@@ -1,4 +1,4 @@
-// zstd in one step, with a bound on what comes out. Internal to snapshot/.
+// One-shot zstd compression, with a limit on the decompressed size. Internal to snapshot/.
 #pragma once
 
 #include <cstddef>
@@ -11,10 +11,11 @@
 
 std::string Compress(std::string_view bytes);
 
-// @param limit largest size after decompression, in bytes. The size that the compressed bytes
-//        state is checked against it before anything is allocated, and is kept to exactly.
-// @return kOversized when the stated size exceeds the limit; kBadFrame when no size is stated or
-//         the bytes are damaged.
+// @param limit largest permitted size after decompression, in bytes. The size stated in the frame
+//        header is checked against it before memory is allocated; the content must have exactly
+//        the stated size.
+// @return the decompressed bytes; kOversized when the stated size exceeds the limit; kBadFrame when
+//         the header states no size or the bytes are damaged.
 Result<std::string> Decompress(std::string_view compressed, std::size_t limit);
 
 }  // namespace copperlead
--- a/src/snapshot/document_reader.h
+++ b/src/snapshot/document_reader.h
@@ -1,5 +1,5 @@
-// Reads what document_writer.h wrote. Lengths and counts are checked against the bytes that remain
-// before anything is allocated for them. Internal to snapshot/.
+// Decoding of the format that document_writer.h writes. Lengths and counts are checked against the
+// remaining bytes before memory is allocated for them. Internal to snapshot/.
 #pragma once
 
 #include <cstdint>
@@ -15,14 +15,14 @@
 
 namespace copperlead {
 
-// Thrown by DocumentReader and the Read functions below for bytes that are no document. Caught in
-// transfer.cc; it never leaves the module.
+// Thrown by DocumentReader and the Read functions below when the bytes are not a valid document.
+// transfer.cc catches it, so it does not leave this module.
 class BadDocument : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Takes numbers and texts from one buffer, which must outlive it. Not thread-safe.
+// Reads numbers and strings from a buffer, which must outlive the reader. Not thread-safe.
 class DocumentReader {
  public:
   explicit DocumentReader(std::string_view bytes);
@@ -30,20 +30,21 @@
   DocumentReader(const DocumentReader&) = delete;
   DocumentReader& operator=(const DocumentReader&) = delete;
 
-  std::uint8_t Byte();
-  std::uint32_t Number();
-  std::string Text();
-  // @param least_item_bytes the fewest bytes one of the counted items takes.
-  std::size_t Count(std::size_t least_item_bytes);
-  // @return a byte of an enumeration whose values are 0 to `last`.
+  std::uint8_t ReadByte();
+  std::uint32_t ReadUint32();
+  std::string ReadString();
+  // Reads the number of items that follow, which is at most kMaxDocumentItems.
+  // @param min_item_bytes the smallest encoded size of one item, which also limits the count.
+  std::size_t ReadCount(std::size_t min_item_bytes);
+  // Reads a value of an enumeration whose values are 0 to `last`.
   template <class Enumeration>
-  Enumeration Choice(Enumeration last) {
-    const std::uint8_t value = Byte();
+  Enumeration ReadEnum(Enumeration last) {
+    const std::uint8_t value = ReadByte();
     if (value > static_cast<std::uint8_t>(last)) throw BadDocument("value outside its enumeration");
     return static_cast<Enumeration>(value);
   }
 
-  // Throws when bytes remain.
+  // Throws BadDocument when unread bytes remain.
   void ExpectEnd();
 
  private:
--- a/src/snapshot/document_writer.cc
+++ b/src/snapshot/document_writer.cc
@@ -16,81 +16,81 @@
 DocumentWriter::DocumentWriter() : archive_(std::make_unique<Archive>()) {}
 DocumentWriter::~DocumentWriter() = default;
 
-void DocumentWriter::Byte(std::uint8_t value) { archive_->archive(value); }
+void DocumentWriter::WriteByte(std::uint8_t value) { archive_->archive(value); }
 
-void DocumentWriter::Number(std::uint32_t value) { archive_->archive(value); }
+void DocumentWriter::WriteUint32(std::uint32_t value) { archive_->archive(value); }
 
-void DocumentWriter::Text(std::string_view text) {
-  Count(text.size());
+void DocumentWriter::WriteString(std::string_view text) {
+  WriteCount(text.size());
   archive_->archive(cereal::binary_data(text.data(), text.size()));
 }
 
-void DocumentWriter::Bytes(std::span<const std::uint8_t> raw) {
+void DocumentWriter::WriteRawBytes(std::span<const std::uint8_t> raw) {
   archive_->archive(cereal::binary_data(raw.data(), raw.size()));
 }
 
-void DocumentWriter::Count(std::size_t count) {
+void DocumentWriter::WriteCount(std::size_t count) {
   if (count > std::numeric_limits<std::uint32_t>::max()) {
     throw std::length_error("a document's part is too large to be written");
   }
-  Number(static_cast<std::uint32_t>(count));
+  WriteUint32(static_cast<std::uint32_t>(count));
 }
 
 std::string DocumentWriter::Take() { return std::move(archive_->stream).str(); }
 
 void WriteRows(DocumentWriter& writer, const std::vector<RouteRow>& rows) {
-  writer.Count(rows.size());
+  writer.WriteCount(rows.size());
   for (const auto& row : rows) {
-    writer.Text(row.service);
-    writer.Text(row.route);
-    writer.Number(row.old_weight);
-    writer.Number(row.new_weight);
-    writer.Number(row.timeout_ms);
-    writer.Number(row.requests_per_second);
-    writer.Number(row.max_in_flight);
-    writer.Number(row.max_retries);
-    writer.Byte(static_cast<std::uint8_t>(row.repeatable));
-    writer.Text(row.secret);
+    writer.WriteString(row.service);
+    writer.WriteString(row.route);
+    writer.WriteUint32(row.old_weight);
+    writer.WriteUint32(row.new_weight);
+    writer.WriteUint32(row.timeout_ms);
+    writer.WriteUint32(row.requests_per_second);
+    writer.WriteUint32(row.max_in_flight);
+    writer.WriteUint32(row.max_retries);
+    writer.WriteByte(static_cast<std::uint8_t>(row.repeatable));
+    writer.WriteString(row.secret);
   }
 }
 
 void WriteServices(DocumentWriter& writer, const std::map<std::string, ServiceSettings>& services) {
-  writer.Count(services.size());
+  writer.WriteCount(services.size());
   for (const auto& [name, settings] : services) {
-    writer.Text(name);
-    writer.Number(settings.slots_per_instance);
-    writer.Number(settings.connections_per_instance);
+    writer.WriteString(name);
+    writer.WriteUint32(settings.slots_per_instance);
+    writer.WriteUint32(settings.connections_per_instance);
   }
 }
 
 void WriteSecrets(DocumentWriter& writer, const std::map<std::string, std::string>& secrets) {
-  writer.Count(secrets.size());
+  writer.WriteCount(secrets.size());
   for (const auto& [name, value] : secrets) {
-    writer.Text(name);
-    writer.Text(value);
+    writer.WriteString(name);
+    writer.WriteString(value);
   }
 }
 
 void WriteMachines(DocumentWriter& writer, const std::vector<Machine>& machines) {
-  writer.Count(machines.size());
+  writer.WriteCount(machines.size());
   for (const auto& machine : machines) {
-    writer.Text(machine.id);
-    writer.Byte(static_cast<std::uint8_t>(machine.kind));
-    writer.Text(machine.service);
-    writer.Byte(static_cast<std::uint8_t>(machine.site));
-    writer.Text(machine.zone);
-    writer.Text(machine.address.ip);
-    writer.Number(machine.address.port);
-    writer.Byte(static_cast<std::uint8_t>(machine.state));
+    writer.WriteString(machine.id);
+    writer.WriteByte(static_cast<std::uint8_t>(machine.kind));
+    writer.WriteString(machine.service);
+    writer.WriteByte(static_cast<std::uint8_t>(machine.site));
+    writer.WriteString(machine.zone);
+    writer.WriteString(machine.address.ip);
+    writer.WriteUint32(machine.address.port);
+    writer.WriteByte(static_cast<std::uint8_t>(machine.state));
   }
 }
 
 void WriteNames(DocumentWriter& writer, const std::vector<std::string>& names) {
-  writer.Count(names.size());
-  for (const auto& name : names) writer.Text(name);
+  writer.WriteCount(names.size());
+  for (const auto& name : names) writer.WriteString(name);
 }
 
-std::uint64_t ContentOf(const std::string& canonical_bytes) {
+std::uint64_t ContentHashOf(const std::string& canonical_bytes) {
   const Digest digest = DigestOf(canonical_bytes);
   std::uint64_t content = 0;
   for (std::size_t index = 0; index < sizeof(content); ++index) {
--- a/src/snapshot/document_writer.h
+++ b/src/snapshot/document_writer.h
@@ -1,5 +1,6 @@
-// Canonical bytes of the documents' parts: the base of content digests and of transfers. Cereal's
-// portable binary archive, always little-endian, with 32-bit lengths. Internal to snapshot/.
+// The canonical binary encoding of documents, which content hashes and transfers are based on. The
+// format is cereal's portable binary archive, always little-endian, with 32-bit lengths. Internal
+// to snapshot/.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +16,7 @@
 
 namespace copperlead {
 
-// Appends numbers and texts to one buffer. Not thread-safe.
+// Appends numbers and strings to a buffer. Not thread-safe.
 class DocumentWriter {
  public:
   DocumentWriter();
@@ -23,13 +24,13 @@
   DocumentWriter(const DocumentWriter&) = delete;
   DocumentWriter& operator=(const DocumentWriter&) = delete;
 
-  void Byte(std::uint8_t value);
-  void Number(std::uint32_t value);
-  void Text(std::string_view text);               // Length, then bytes.
-  void Bytes(std::span<const std::uint8_t> raw);  // Bytes alone; the reader knows their number.
-  void Count(std::size_t count);                  // Of the items that follow.
+  void WriteByte(std::uint8_t value);
+  void WriteUint32(std::uint32_t value);
+  void WriteString(std::string_view text);                // Length, followed by the bytes.
+  void WriteRawBytes(std::span<const std::uint8_t> raw);  // Bytes without their length.
+  void WriteCount(std::size_t count);                     // Number of the items that follow.
 
-  // @return everything written. Call once, last.
+  // @return all bytes written. Must be called only once, after the last write.
   std::string Take();
 
  private:
@@ -43,7 +44,7 @@
 void WriteMachines(DocumentWriter& writer, const std::vector<Machine>& machines);
 void WriteNames(DocumentWriter& writer, const std::vector<std::string>& names);
 
-// @return the first 8 bytes of the SHA-256 of the bytes, as a big-endian number.
-std::uint64_t ContentOf(const std::string& canonical_bytes);
+// @return the first 8 bytes of the SHA-256 of `canonical_bytes`, as a big-endian number.
+std::uint64_t ContentHashOf(const std::string& canonical_bytes);
 
 }  // namespace copperlead
--- a/src/snapshot/json_document.cc
+++ b/src/snapshot/json_document.cc
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-// Iterates over a text and tells, through a shared counter, how much of it was read.
+// Iterates over a text and counts the characters read in a counter that all copies share.
 class CountingIterator {
  public:
   using iterator_category = std::input_iterator_tag;
@@ -47,80 +47,81 @@
   std::size_t* consumed_;
 };
 
-// A fault that the guard found; thrown through the parser, caught in this file.
-struct GuardFault {
+// Thrown by ParseGuard through the JSON parser when it rejects the text; caught in this file.
+struct GuardRejection {
   std::string cause;
 };
 
-// Follows the parser's events: bounds depth and number of values, refuses duplicate keys, and
-// notes where the value at one pointer begins.
+// Handles the parser's events: limits the nesting depth and the number of values, rejects duplicate
+// keys, and records the position at which the value at `target` is found.
 class ParseGuard {
  public:
   explicit ParseGuard(const std::size_t* consumed, const JsonPointer* target = nullptr)
       : consumed_(consumed), target_(target) {}
 
-  bool Take(json::parse_event_t event, const json& value) {
+  bool OnEvent(json::parse_event_t event, const json& value) {
     switch (event) {
       case json::parse_event_t::key:
-        TakeKey(value.get_ref<const std::string&>());
+        OnKey(value.get_ref<const std::string&>());
         break;
       case json::parse_event_t::object_start:
       case json::parse_event_t::array_start:
-        TakeValue();
-        Open(event == json::parse_event_t::array_start);
+        OnValue();
+        PushLevel(event == json::parse_event_t::array_start);
         break;
       case json::parse_event_t::object_end:
       case json::parse_event_t::array_end:
         levels_.pop_back();
         break;
       case json::parse_event_t::value:
-        TakeValue();
+        OnValue();
         break;
     }
     return true;
   }
 
-  // Bytes read when the target was found.
+  // Number of bytes that had been read when the target was found.
   std::optional<std::size_t> target_offset() const { return target_offset_; }
 
  private:
   struct Level {
     bool is_array = false;
-    std::size_t items = 0;       // Arrays: begun so far.
-    std::string key;             // Objects: the current one.
-    std::set<std::string> keys;  // Objects: all so far.
+    std::size_t items = 0;       // In an array: number of items started.
+    std::string key;             // In an object: the current key.
+    std::set<std::string> keys;  // In an object: all keys read so far.
   };
 
-  void Open(bool is_array) {
+  void PushLevel(bool is_array) {
     if (levels_.size() == kMaxJsonDepth) {
-      throw GuardFault{"nested deeper than " + std::to_string(kMaxJsonDepth) + " levels"};
+      throw GuardRejection{"nested deeper than " + std::to_string(kMaxJsonDepth) + " levels"};
     }
     levels_.push_back({is_array, 0, {}, {}});
   }
 
-  void TakeKey(const std::string& key) {
+  void OnKey(const std::string& key) {
     Level& level = levels_.back();
-    if (!level.keys.insert(key).second) throw GuardFault{"the key before this place stands twice"};
+    if (!level.keys.insert(key).second)
+      throw GuardRejection{"the key before this place stands twice"};
     level.key = key;
-    if (target_ != nullptr) Compare();
+    if (target_ != nullptr) CheckForTarget();
   }
 
-  void TakeValue() {
+  void OnValue() {
     if (++values_ > kMaxJsonValues) {
-      throw GuardFault{"more than " + std::to_string(kMaxJsonValues) + " values"};
+      throw GuardRejection{"more than " + std::to_string(kMaxJsonValues) + " values"};
     }
     if (levels_.empty() || !levels_.back().is_array) return;
     ++levels_.back().items;
-    if (target_ != nullptr) Compare();
+    if (target_ != nullptr) CheckForTarget();
   }
 
-  void Compare() {
+  void CheckForTarget() {
     if (target_offset_) return;
-    JsonPointer here;
+    JsonPointer current;
     for (const Level& level : levels_) {
-      here.push_back(level.is_array ? std::to_string(level.items - 1) : level.key);
+      current.push_back(level.is_array ? std::to_string(level.items - 1) : level.key);
     }
-    if (here == *target_) target_offset_ = *consumed_;
+    if (current == *target_) target_offset_ = *consumed_;
   }
 
   const std::size_t* consumed_;
@@ -130,26 +131,27 @@
   std::vector<Level> levels_;
 };
 
-json RunParser(std::string_view text, std::size_t& consumed, ParseGuard& guard) {
+json ParseWithGuard(std::string_view text, std::size_t& consumed, ParseGuard& guard) {
   const CountingIterator begin(text.data(), &consumed);
   const CountingIterator end(text.data() + text.size(), &consumed);
   return json::parse(begin, end, [&](int, json::parse_event_t event, json& value) {
-    return guard.Take(event, value);
+    return guard.OnEvent(event, value);
   });
 }
 
-// @param bytes_read up to and with the faulty byte.
+// @param bytes_read number of bytes read, including the faulty one.
+// @return the position of the last of these bytes.
 TextPosition PositionAfter(std::string_view text, std::size_t bytes_read) {
   const std::size_t byte = std::clamp<std::size_t>(bytes_read, 1, text.size() + 1);
   const auto before = text.substr(0, byte - 1);
   return {static_cast<std::size_t>(std::ranges::count(before, '\n')) + 1, byte};
 }
 
-// Finds where the value at `pointer` stands in a text that was parsed before.
+// Parses `text`, which is known to be valid, again to find the offset of the value at `pointer`.
 std::optional<std::size_t> Locate(std::string_view text, const JsonPointer& pointer) {
   std::size_t consumed = 0;
   ParseGuard guard(&consumed, &pointer);
-  RunParser(text, consumed, guard);
+  ParseWithGuard(text, consumed, guard);
   return guard.target_offset();
 }
 
@@ -170,9 +172,10 @@
   std::size_t consumed = 0;
   ParseGuard guard(&consumed);
   try {
-    document.root_ = std::make_shared<const json>(RunParser(text, consumed, guard));
-  } catch (const GuardFault& fault) {
-    return Fail(ErrorKind::kMalformedJson, ToString(PositionAfter(text, consumed)), fault.cause);
+    document.root_ = std::make_shared<const json>(ParseWithGuard(text, consumed, guard));
+  } catch (const GuardRejection& rejection) {
+    return Fail(ErrorKind::kMalformedJson, ToString(PositionAfter(text, consumed)),
+                rejection.cause);
   } catch (const json::exception& error) {
     const auto* const parse_error = dynamic_cast<const json::parse_error*>(&error);
     const std::size_t byte = parse_error == nullptr ? consumed : parse_error->byte;
@@ -215,7 +218,7 @@
   return value;
 }
 
-Result<std::string> JsonDocument::GetText(const JsonPointer& pointer) const {
+Result<std::string> JsonDocument::GetString(const JsonPointer& pointer) const {
   BOOST_LEAF_AUTO(value, Get(pointer));
   if (!value->is_string()) {
     return FailAt(ErrorKind::kMalformedJson, pointer,
--- a/src/snapshot/json_document.h
+++ b/src/snapshot/json_document.h
@@ -1,5 +1,6 @@
-// A JSON body from outside, read with bounds and without duplicate keys, whose values are fetched
-// by checked getters that report the place of a fault. Used by snapshot/ and the toolbox.
+// Parsing of untrusted JSON, with limits on its size, depth and number of values and without
+// duplicate keys. Checked getters report the position of an invalid value. Used by snapshot/ and
+// the command line tools.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +18,7 @@
 inline constexpr std::size_t kMaxJsonDepth = 16;
 inline constexpr std::size_t kMaxJsonValues = 2'000'000;
 
-// Position in a text. Lines count from 1, bytes from 1 at the start of the text.
+// A position in a text. Lines and bytes are both counted from 1 at the start of the text.
 struct TextPosition {
   std::size_t line = 1;
   std::size_t byte = 1;
@@ -26,24 +27,26 @@
 // @return "line 3, byte 57".
 std::string ToString(const TextPosition& position);
 
-// A parsed body. Keeps a view of the text for places: the text must outlive it.
+// A parsed JSON text. The text must outlive the document, which uses it to locate values.
 class JsonDocument {
  public:
-  // @return kOversized, or kMalformedJson with the place of the first fault. Nothing of the text
-  //         is quoted, as it may hold secrets.
+  // @param limit largest permitted size of the text, in bytes.
+  // @return the document; kOversized; or kMalformedJson with the position of the first error. The
+  //         error does not quote the text, which may contain secrets.
   static Result<JsonDocument> Parse(std::string_view text, std::size_t limit);
 
-  // @return the error for the value at `pointer` (or, when it is missing, for its nearest parent),
-  //         placed as "line 3, byte 57: /services/permit-desk".
+  // Reports an error for the value at `pointer`, with the position of its nearest existing parent
+  // when the value is missing. The error's place has the form
+  // "line 3, byte 57: \"/services/permit-desk\"".
   boost::leaf::error_id FailAt(ErrorKind kind, const JsonPointer& pointer,
                                const std::string& cause) const;
 
-  // Checked getters: kMalformedJson when the value is missing or of another type.
-  // @param kind reported for a number that is not whole or outside the bounds.
+  // Checked getters, which fail with kMalformedJson when the value is missing or has another type.
+  // GetNumber fails with `kind` when the value is not an integer from `minimum` to `maximum`.
   Result<const nlohmann::json*> Get(const JsonPointer& pointer) const;
   Result<const nlohmann::json*> GetObject(const JsonPointer& pointer) const;
   Result<const nlohmann::json*> GetArray(const JsonPointer& pointer) const;
-  Result<std::string> GetText(const JsonPointer& pointer) const;
+  Result<std::string> GetString(const JsonPointer& pointer) const;
   Result<std::uint64_t> GetNumber(const JsonPointer& pointer, ErrorKind kind, std::uint64_t minimum,
                                   std::uint64_t maximum) const;
 
--- a/src/snapshot/machines.cc
+++ b/src/snapshot/machines.cc
@@ -10,7 +10,7 @@
   std::ranges::stable_sort(list.machines, {}, &Machine::id);
   DocumentWriter writer;
   WriteMachines(writer, list.machines);
-  list.version = {list.sequence, 0, ContentOf(writer.Take())};
+  list.version = {list.sequence, 0, ContentHashOf(writer.Take())};
 }
 
 }  // namespace copperlead
--- a/src/snapshot/machines.h
+++ b/src/snapshot/machines.h
@@ -1,4 +1,5 @@
-// The platform's list of machines. It lags: evidence of the system's own goes before it.
+// The platform's list of machines. The list lags behind the actual state, so what the nodes observe
+// themselves takes precedence over it.
 #pragma once
 
 #include <cstddef>
@@ -19,28 +20,28 @@
 struct Machine {
   std::string id;
   MachineKind kind = MachineKind::kBackend;
-  std::string service;  // Back ends only.
+  std::string service;  // Set for back ends only.
   Site site = Site::kOld;
   std::string zone;
-  SocketAddress address;  // A node's peer address; a back end's HTTP address.
+  SocketAddress address;  // Peer address of a node; HTTP address of a back end.
   MachineState state = MachineState::kLive;
 
   bool operator==(const Machine&) const = default;
 };
 
-// Most items of one kind in a document: machines, services, secrets, removed names.
+// Maximum number of items of one kind (machines, services, secrets, removed names) in a document.
 inline constexpr std::size_t kMaxDocumentItems = 100'000;
 
-// Immutable once shared. Machines are sorted by id.
+// A list of machines, sorted by id, which is immutable once it is shared.
 struct MachineList {
   std::uint64_t sequence = 0;
   std::vector<Machine> machines;
-  DocumentVersion version;  // Filled in by Seal().
+  DocumentVersion version;  // Set by Seal().
 };
 
 using MachineListPointer = std::shared_ptr<const MachineList>;
 
-// Sorts the machines and fills in version from the content.
+// Sorts the machines by id and sets the version from the content.
 void Seal(MachineList& list);
 
 }  // namespace copperlead
--- a/src/snapshot/source_documents.cc
+++ b/src/snapshot/source_documents.cc
@@ -49,20 +49,20 @@
   return services;
 }
 
-// The value goes into a header field: control characters would end it. The value itself is never
-// part of a message.
+// Control characters are rejected because the value is sent in a header field, which they would
+// end. Error messages never contain the value.
 Result<std::string> ReadSecret(const JsonDocument& document, const JsonPointer& pointer) {
-  BOOST_LEAF_AUTO(encoded, document.GetText(pointer));
+  BOOST_LEAF_AUTO(encoded, document.GetString(pointer));
   auto value = DecodeBase64(encoded);
   if (!value) {
     return document.FailAt(ErrorKind::kBadValue, pointer,
                            "is not base64 (RFC 4648 section 4, with padding)");
   }
-  const bool unfit = std::ranges::any_of(*value, [](char character) {
+  const bool has_control_character = std::ranges::any_of(*value, [](char character) {
     const auto byte = static_cast<unsigned char>(character);
     return byte < 0x20 || byte == 0x7f;
   });
-  if (unfit) {
+  if (has_control_character) {
     return document.FailAt(ErrorKind::kBadValue, pointer,
                            "decodes to control characters, which no header can carry");
   }
@@ -84,34 +84,34 @@
   return secrets;
 }
 
-// One value out of a short list of words.
+// The name of an enumeration value in the JSON documents.
 template <class Enumeration>
-struct Word {
+struct EnumName {
   const char* text;
   Enumeration value;
 };
 
-constexpr Word<MachineKind> kKinds[] = {{"node", MachineKind::kNode},
-                                        {"backend", MachineKind::kBackend}};
-constexpr Word<Site> kSites[] = {{"old", Site::kOld}, {"new", Site::kNew}};
-constexpr Word<MachineState> kStates[] = {{"live", MachineState::kLive},
-                                          {"leaving", MachineState::kLeaving}};
+constexpr EnumName<MachineKind> kKinds[] = {{"node", MachineKind::kNode},
+                                            {"backend", MachineKind::kBackend}};
+constexpr EnumName<Site> kSites[] = {{"old", Site::kOld}, {"new", Site::kNew}};
+constexpr EnumName<MachineState> kStates[] = {{"live", MachineState::kLive},
+                                              {"leaving", MachineState::kLeaving}};
 
 template <class Enumeration, std::size_t kSize>
-Result<Enumeration> ReadWord(const JsonDocument& document, const JsonPointer& pointer,
-                             const Word<Enumeration> (&words)[kSize]) {
-  BOOST_LEAF_AUTO(text, document.GetText(pointer));
+Result<Enumeration> ReadEnumName(const JsonDocument& document, const JsonPointer& pointer,
+                                 const EnumName<Enumeration> (&names)[kSize]) {
+  BOOST_LEAF_AUTO(text, document.GetString(pointer));
   std::string allowed;
-  for (const auto& word : words) {
-    if (text == word.text) return word.value;
-    allowed += (allowed.empty() ? "" : " or ") + std::string(word.text);
+  for (const auto& name : names) {
+    if (text == name.text) return name.value;
+    allowed += (allowed.empty() ? "" : " or ") + std::string(name.text);
   }
   return document.FailAt(ErrorKind::kBadValue, pointer, Quote(text) + " must be " + allowed);
 }
 
 Result<std::string> ReadName(const JsonDocument& document, const JsonPointer& pointer,
                              std::string_view what) {
-  BOOST_LEAF_AUTO(text, document.GetText(pointer));
+  BOOST_LEAF_AUTO(text, document.GetString(pointer));
   if (auto fault = CheckName(what, text)) {
     return document.FailAt(fault->kind, pointer, fault->message);
   }
@@ -119,7 +119,7 @@
 }
 
 Result<SocketAddress> ReadAddress(const JsonDocument& document, const JsonPointer& pointer) {
-  BOOST_LEAF_AUTO(text, document.GetText(pointer));
+  BOOST_LEAF_AUTO(text, document.GetString(pointer));
   const auto address = Resolve([&] { return ParseSocketAddress(text); });
   if (!address.ok()) {
     return document.FailAt(ErrorKind::kBadValue, pointer,
@@ -132,14 +132,14 @@
   Machine machine;
   BOOST_LEAF_CHECK(document.GetObject(pointer));
   BOOST_LEAF_ASSIGN(machine.id, ReadName(document, pointer / "id", "id"));
-  BOOST_LEAF_ASSIGN(machine.kind, ReadWord(document, pointer / "kind", kKinds));
+  BOOST_LEAF_ASSIGN(machine.kind, ReadEnumName(document, pointer / "kind", kKinds));
   if (machine.kind == MachineKind::kBackend) {
     BOOST_LEAF_ASSIGN(machine.service, ReadName(document, pointer / "service", "service"));
-    BOOST_LEAF_ASSIGN(machine.site, ReadWord(document, pointer / "site", kSites));
+    BOOST_LEAF_ASSIGN(machine.site, ReadEnumName(document, pointer / "site", kSites));
   }
   BOOST_LEAF_ASSIGN(machine.zone, ReadName(document, pointer / "zone", "zone"));
   BOOST_LEAF_ASSIGN(machine.address, ReadAddress(document, pointer / "address"));
-  BOOST_LEAF_ASSIGN(machine.state, ReadWord(document, pointer / "state", kStates));
+  BOOST_LEAF_ASSIGN(machine.state, ReadEnumName(document, pointer / "state", kStates));
   return machine;
 }
 
@@ -152,7 +152,7 @@
   Bundle& bundle = result.bundle;
   BOOST_LEAF_ASSIGN(bundle.revision, document.GetNumber(JsonPointer("/revision"),
                                                         ErrorKind::kBadValue, 1, kMaxRevision));
-  BOOST_LEAF_AUTO(table, document.GetText(JsonPointer("/table")));
+  BOOST_LEAF_AUTO(table, document.GetString(JsonPointer("/table")));
   BOOST_LEAF_ASSIGN(bundle.services, ReadServices(document));
   BOOST_LEAF_ASSIGN(bundle.secrets, ReadSecrets(document));
   result.csv = ParseCsv(table);
--- a/src/snapshot/source_documents.h
+++ b/src/snapshot/source_documents.h
@@ -1,4 +1,5 @@
-// Reads the bodies of the platform's two services. Pure; used by readers and `copperlead check`.
+// Parsing of the response bodies of the platform's two services, without side effects. Used by
+// readers and by `copperlead check`.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +13,29 @@
 
 namespace copperlead {
 
-// Largest body taken from the source, in bytes.
+// Largest response body accepted from the source, in bytes.
 inline constexpr std::size_t kMaxSourceBody = std::size_t{32} * 1024 * 1024;
 
-inline constexpr std::uint32_t kMaxServiceCapacity = 1'000'000;  // Slots or connections.
+inline constexpr std::uint32_t kMaxServiceCapacity =
+    1'000'000;  // Limit of slots and of connections.
 
-// What /v1/configuration held.
+// The content of a response to /v1/configuration.
 struct ConfigurationDocument {
-  Bundle bundle;  // Sealed, resource_epoch 0. Complete only when MissingNames() is empty.
-  CsvTable csv;   // For the place of each fault.
-  // Faults of the table's own content, all of them. Unknown names are not among them: they make
-  // the bundle incomplete, not bad.
+  Bundle bundle;  // Sealed, with resource_epoch 0. Complete when MissingNames() is empty.
+  CsvTable csv;   // Row and column numbers for fault reports.
+  // All faults in the table's own content. References to unknown services or secrets are not
+  // included: they make the bundle incomplete but not invalid.
   std::vector<TableFault> faults;
 };
 
-// @return the document, also when its table has faults; an Error (kMalformedJson with the place of
-//         the first fault, kOversized, kBadValue for a revision that is 0 or not a whole number)
-//         when the body cannot be read at all.
+// @return the document, even when its table has faults. Fails when the body as a whole is invalid:
+//         kMalformedJson with the position of the first error, kOversized, or kBadValue for an
+//         invalid value such as a revision that is 0 or not an integer.
 Result<ConfigurationDocument> ParseConfiguration(std::string_view body);
 
-// What /v1/machines held. @return the sealed list; kMalformedJson or kBadValue naming the entry.
+// Parses the body of a response to /v1/machines.
+// @return the sealed list; kMalformedJson or kBadValue with the position of the invalid entry; or
+//         kOversized.
 Result<MachineList> ParseMachines(std::string_view body);
 
 }  // namespace copperlead
--- a/src/snapshot/transfer.cc
+++ b/src/snapshot/transfer.cc
@@ -14,10 +14,10 @@
 
 constexpr const char* kPlace = "payload";
 
-// What turns one sorted list into another. The items' keys are unique.
+// The changes that turn one sorted list into another. Keys of items are unique.
 template <class Item>
 struct ListDelta {
-  std::vector<Item> changed;  // Added or replaced, whole.
+  std::vector<Item> changed;  // Added or replaced items.
   std::vector<std::string> removed;
 };
 
@@ -27,7 +27,7 @@
   std::vector<std::string> removed;
 };
 
-// @param key member of Item that identifies it; both lists are sorted by it.
+// @param key the member that identifies an item. Both lists are sorted by it.
 template <class Item>
 ListDelta<Item> DeltaOf(const std::vector<Item>& base, const std::vector<Item>& target,
                         std::string Item::*key) {
@@ -90,7 +90,7 @@
   return {stream, version, base, std::move(payload)};
 }
 
-// Checks what is the same for both documents and gives the payload's plain bytes.
+// Performs the checks that both kinds of document share, and decompresses the payload.
 template <class Document>
 Result<std::string> Unpack(const Transfer& transfer, StreamKind stream, const Document* base) {
   if (transfer.stream != stream) {
@@ -105,10 +105,10 @@
   return Decompress(*transfer.payload, kMaxDocumentBytes);
 }
 
-// @return the sealed document, if it is what the transfer says.
+// Seals the document.
+// @return the document, or kDigestMismatch when its version differs from the one in the transfer.
 template <class Document>
-Result<std::shared_ptr<const Document>> SealAndCompare(const Transfer& transfer,
-                                                       Document document) {
+Result<std::shared_ptr<const Document>> SealAndVerify(const Transfer& transfer, Document document) {
   Seal(document);
   if (!(document.version == transfer.version)) {
     return Fail(ErrorKind::kDigestMismatch, "version " + ToString(transfer.version),
@@ -192,7 +192,7 @@
     Bundle bundle = ReadBundle(reader, transfer.whole() ? nullptr : base);
     bundle.revision = transfer.version.major;
     bundle.resource_epoch = transfer.version.minor;
-    return SealAndCompare(transfer, std::move(bundle));
+    return SealAndVerify(transfer, std::move(bundle));
   } catch (const BadDocument& error) {
     return Fail(ErrorKind::kBadFrame, kPlace, error.what());
   }
@@ -204,7 +204,7 @@
     DocumentReader reader(bytes);
     MachineList list = ReadMachineList(reader, transfer.whole() ? nullptr : base);
     list.sequence = transfer.version.major;
-    return SealAndCompare(transfer, std::move(list));
+    return SealAndVerify(transfer, std::move(list));
   } catch (const BadDocument& error) {
     return Fail(ErrorKind::kBadFrame, kPlace, error.what());
   }
--- a/src/snapshot/transfer.h
+++ b/src/snapshot/transfer.h
@@ -1,5 +1,6 @@
-// Documents on the wire: whole, or as the difference to a version that the receiver has.
-// The payload is cereal (portable binary) compressed by zstd. Pure.
+// Encoding of documents for transfer, either in full or as a delta from a version that the receiver
+// has. The payload is a cereal portable binary archive, compressed with zstd. No function here has
+// side effects.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +14,14 @@
 
 namespace copperlead {
 
-// Largest payload after decompression, in bytes; checked before anything is allocated.
+// Largest permitted payload after decompression, in bytes. Checked before memory is allocated.
 inline constexpr std::size_t kMaxDocumentBytes = std::size_t{32} * 1024 * 1024;
 
-// One version of one document, ready to send. Cheap to copy: the payload is shared.
+// An encoded version of a document. Copies are cheap because they share the payload.
 struct Transfer {
   StreamKind stream = StreamKind::kConfiguration;
   DocumentVersion version;
-  DocumentVersion base;  // None (zero): the payload is the whole document.
+  DocumentVersion base;  // None (zero) when the payload is the full document.
   std::shared_ptr<const std::string> payload;
 
   bool whole() const { return base.none(); }
@@ -29,14 +30,17 @@
 Transfer EncodeWhole(const Bundle& bundle);
 Transfer EncodeWhole(const MachineList& list);
 
-// The difference of two versions: changed and removed rows (or machines), services and secrets.
+// Encodes the delta between two versions: changed and removed rows, services and secrets, or
+// changed and removed machines.
 Transfer EncodeDelta(const Bundle& base, const Bundle& target);
 Transfer EncodeDelta(const MachineList& base, const MachineList& target);
 
-// Rebuilds a document and checks that its content has the digest which `transfer.version` states.
-// @param base the receiver's document of version transfer.base; ignored (may be null) when whole.
-// @return the sealed document; kUnknownBase when base is null or of another version, kOversized,
-//         kBadFrame for bytes that do not decode, kDigestMismatch.
+// Reconstructs a document and checks that its content hash matches `transfer.version`.
+// @param base the receiver's document of version transfer.base; ignored, and may be null, when the
+//        transfer holds the full document.
+// @return the sealed document; kUnknownBase when a delta's `base` is null or has another version;
+//         kOversized; kBadFrame when the payload cannot be decoded or the transfer holds the other
+//         kind of document; kDigestMismatch when the content differs from the stated version.
 Result<BundlePointer> DecodeBundle(const Transfer& transfer, const Bundle* base);
 Result<MachineListPointer> DecodeMachines(const Transfer& transfer, const MachineList* base);
 
--- a/src/snapshot/version.h
+++ b/src/snapshot/version.h
@@ -7,19 +7,19 @@
 
 namespace copperlead {
 
-// The documents. Each has its own order of versions and travels by itself.
+// The kinds of document. Each is versioned and distributed independently of the other.
 enum class StreamKind : std::uint8_t {
   kConfiguration,  // The bundle: table, services and secrets.
   kMachines,       // The platform's list of live and leaving machines.
 };
 inline constexpr std::size_t kStreamCount = 2;
 
-// Identity and order of one version of a document.
+// The identity of a version of a document, and its position in the order of versions.
 //
-// For kConfiguration `major` is the source's revision and `minor` the resource epoch, which rises
-// when secrets or service settings change under one revision. For kMachines `major` is the
-// source's sequence and `minor` is 0. Versions are ordered by (major, minor); `content` only tells
-// versions of equal order apart. The zero version stands for "none".
+// For kConfiguration `major` is the source's revision and `minor` the resource epoch, which
+// increases when secrets or service settings change within a revision. For kMachines `major` is the
+// source's sequence and `minor` is 0. Versions are ordered by (major, minor); `content`
+// distinguishes versions with the same position in that order. The zero version means "none".
 struct DocumentVersion {
   std::uint64_t major = 0;
   std::uint32_t minor = 0;
@@ -29,18 +29,19 @@
   bool none() const { return major == 0 && minor == 0 && content == 0; }
 };
 
-// True when `left` comes after `right`, whatever their content.
+// @return true when `left` comes after `right` in the order of versions, regardless of content.
 inline bool IsNewer(const DocumentVersion& left, const DocumentVersion& right) {
   if (left.major != right.major) return left.major > right.major;
   return left.minor > right.minor;
 }
 
-// True when the two have the same place in the order but not the same content.
+// @return true when both have the same position in the order of versions but different content.
 inline bool IsConflict(const DocumentVersion& left, const DocumentVersion& right) {
   return left.major == right.major && left.minor == right.minor && left.content != right.content;
 }
 
-// @return "7", "7+2" with resource epoch 2; "none" for the zero version.
+// @return the major version, such as "7"; with a minor version other than 0, such as "7+2"; or
+//         "none" for the zero version.
 std::string ToString(const DocumentVersion& version);
 
 }  // namespace copperlead
--- a/tests/snapshot/transfer_test.cc
+++ b/tests/snapshot/transfer_test.cc
@@ -196,7 +196,7 @@
 
 TEST(DocumentReaderTest, RefusesCountsBeyondTheBytesLeft) {
   DocumentWriter writer;
-  writer.Number(90'000);
+  writer.WriteUint32(90'000);
   const std::string bytes = writer.Take();
   using Read = void (*)(DocumentReader&);
   const Read reads[] = {
@@ -205,7 +205,7 @@
       [](DocumentReader& reader) { ReadSecrets(reader); },
       [](DocumentReader& reader) { ReadMachines(reader); },
       [](DocumentReader& reader) { ReadNames(reader); },
-      [](DocumentReader& reader) { reader.Text(); },
+      [](DocumentReader& reader) { reader.ReadString(); },
   };
   for (const Read read : reads) {
     DocumentReader reader(bytes);
@@ -213,7 +213,7 @@
   }
   // The count itself is refused, before any item is allocated or read.
   DocumentReader reader(bytes);
-  EXPECT_THROW(reader.Count(1), BadDocument);
+  EXPECT_THROW(reader.ReadCount(1), BadDocument);
 }
 
 // Damaged payloads never give another document than the one stated, and never crash.
