--- a/src/table/cell.cc
+++ b/src/table/cell.cc
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kMaxQuotedLength = 60;
 constexpr unsigned char kFirstPrintable = 0x20;
-constexpr unsigned char kDelete = 0x7f;
+constexpr unsigned char kDeleteCharacter = 0x7f;
 
 unsigned char ByteAt(std::string_view text, std::size_t index) {
   return static_cast<unsigned char>(text[index]);
@@ -19,11 +19,12 @@
 
 bool IsControl(char character) {
   const auto byte = static_cast<unsigned char>(character);
-  return byte < kFirstPrintable || byte == kDelete;
+  return byte < kFirstPrintable || byte == kDeleteCharacter;
 }
 
-// @return the length of the well-formed UTF-8 sequence at `index`; 0 when there is none.
-std::size_t SequenceLength(std::string_view text, std::size_t index) {
+// @return the length of the well-formed UTF-8 sequence that starts at `index`, or 0 if there is
+// none.
+std::size_t Utf8SequenceLength(std::string_view text, std::size_t index) {
   const unsigned char lead = ByteAt(text, index);
   if (lead < 0x80) return 1;
   if (lead < 0xc2 || lead > 0xf4) return 0;
@@ -33,10 +34,10 @@
     if ((ByteAt(text, index + offset) & 0xc0) != 0x80) return 0;
   }
   const unsigned char second = ByteAt(text, index + 1);
-  if (lead == 0xe0 && second < 0xa0) return 0;   // Overlong.
-  if (lead == 0xed && second >= 0xa0) return 0;  // Surrogates.
-  if (lead == 0xf0 && second < 0x90) return 0;   // Overlong.
-  if (lead == 0xf4 && second >= 0x90) return 0;  // Past U+10FFFF.
+  if (lead == 0xe0 && second < 0xa0) return 0;   // Overlong form.
+  if (lead == 0xed && second >= 0xa0) return 0;  // Surrogate code point.
+  if (lead == 0xf0 && second < 0x90) return 0;   // Overlong form.
+  if (lead == 0xf4 && second >= 0x90) return 0;  // Code point above U+10FFFF.
   return length;
 }
 
@@ -64,7 +65,7 @@
 bool IsUtf8(std::string_view text) {
   std::size_t index = 0;
   while (index < text.size()) {
-    const std::size_t length = SequenceLength(text, index);
+    const std::size_t length = Utf8SequenceLength(text, index);
     if (length == 0) return false;
     index += length;
   }
@@ -76,7 +77,7 @@
   std::string quoted = "\"";
   for (const char character : text.substr(0, kMaxQuotedLength)) {
     const auto byte = static_cast<unsigned char>(character);
-    if (byte >= kFirstPrintable && byte < kDelete) {
+    if (byte >= kFirstPrintable && byte < kDeleteCharacter) {
       quoted += character;
       continue;
     }
@@ -124,10 +125,11 @@
     return BadRoute(text, "must not hold '?', '#' or '%'");
   }
   if (std::ranges::any_of(text, IsControl)) return BadRoute(text, "holds a control character");
-  const bool outside_paths = std::ranges::any_of(text, [](char character) {
-    return character == ' ' || character == '\\' || static_cast<unsigned char>(character) > kDelete;
+  const bool has_invalid_character = std::ranges::any_of(text, [](char character) {
+    return character == ' ' || character == '\\' ||
+           static_cast<unsigned char>(character) > kDeleteCharacter;
   });
-  if (outside_paths) {
+  if (has_invalid_character) {
     return BadRoute(text, "holds a space, '\\' or non-ASCII character, which no request path has");
   }
   if (text == "/") return std::nullopt;
--- a/src/table/csv.h
+++ b/src/table/csv.h
@@ -1,4 +1,5 @@
-// The table as CSV (RFC 4180, header row required, columns in any order), both ways, by libcsv.
+// Parsing and formatting of the table as CSV with libcsv (RFC 4180; the header row is required, and
+// columns may be in any order).
 #pragma once
 
 #include <cstdint>
@@ -11,8 +12,8 @@
 
 namespace copperlead {
 
-// One fault of a table. Rows and columns count from 1; the header is row 1. Column 0: whole row;
-// row 0: whole table.
+// An error in a table. Rows and columns are counted from 1, and the header is row 1. Column 0
+// stands for the entire row, row 0 for the entire table.
 struct TableFault {
   ErrorKind kind = ErrorKind::kInternal;
   std::uint32_t row = 0;
@@ -20,33 +21,35 @@
   std::string message;
 };
 
-// What reading a CSV text gave: the rows that could be read, and every fault found.
+// The result of parsing a CSV text: the rows that could be parsed, and the faults found.
 struct CsvTable {
-  Table table;  // Canonical. Meaningful as a whole only when faults is empty.
-  // CSV row number (header = 1) of each row of `table`, in the same order.
+  Table table;  // In canonical order. Valid as a table only when `faults` is empty.
+  // CSV row number of each row of `table`, in the same order. The header is row 1.
   std::vector<std::uint32_t> row_numbers;
-  // CSV column number of each field, in the order of kColumnNames; 0 where missing.
+  // CSV column number of each field, in the order of kColumnNames; 0 for a missing column.
   std::vector<std::uint32_t> column_numbers;
   std::vector<TableFault> faults;
 };
 
-// The columns in canonical order.
+// Column names in canonical order.
 inline constexpr std::string_view kColumnNames[] = {
     "service",       "route",       "old_weight", "new_weight", "timeout_ms", "requests_per_second",
     "max_in_flight", "max_retries", "repeatable", "secret"};
 
-// Bounds on one table.
+// Limits on the size of a table.
 inline constexpr std::size_t kMaxTableBytes = std::size_t{16} * 1024 * 1024;
 inline constexpr std::size_t kMaxTableRows = 100'000;
-inline constexpr std::size_t kMaxNameLength = 200;    // Service and secret names, in bytes.
+inline constexpr std::size_t kMaxNameLength = 200;    // For service and secret names, in bytes.
 inline constexpr std::size_t kMaxRouteLength = 1024;  // In bytes.
 
-// Reads and checks everything that one text alone can show: form, encoding (UTF-8), columns,
-// numbers and ranges, weight sums, unique routes. All faults are reported, not just the first.
-// Pure. Names of services and secrets are checked by ValidateNames (validate.h).
+// Parses a table and performs all checks that need no other data: CSV syntax, UTF-8 encoding,
+// columns, numbers and their ranges, weight sums and unique routes. Reports not just the first
+// fault but up to kMaxTableFaults (fault_list.h), and the number of the others. Has no side
+// effects. FindUnknownNames (validate.h) checks the names of services and secrets.
 CsvTable ParseCsv(std::string_view text);
 
-// @return canonical CSV with header and LF line ends; ParseCsv reads it back to the same table.
+// @return canonical CSV with a header and LF line ends, which ParseCsv parses back to an
+//         equal table.
 std::string ToCsv(const Table& table);
 
 }  // namespace copperlead
--- a/src/table/csv_reader.cc
+++ b/src/table/csv_reader.cc
@@ -23,7 +23,7 @@
 constexpr std::uint32_t kMaxWeight = 100;
 constexpr std::size_t kNoColumn = kColumnCount;
 
-// Takes the cells that libcsv finds and builds typed rows.
+// Builds typed rows from the cells that libcsv reports.
 class TableReader {
  public:
   CsvTable Read(std::string_view text);
@@ -32,20 +32,20 @@
   static void OnCell(void* cell, std::size_t size, void* reader);
   static void OnRowEnd(int terminator, void* reader);
 
-  void TakeCell(std::string_view cell);
-  void TakeRowEnd(int terminator);
+  void HandleCell(std::string_view cell);
+  void HandleRowEnd(int terminator);
   void CheckLoneCarriageReturn();
   void FinishRow();
-  void ReadHeader();
-  void ReadRow();
+  void ParseHeader();
+  void ParseRow();
   void CheckFieldCount();
-  void ReadCells(RouteRow& row);
-  std::optional<CellFault> ReadCell(std::size_t column, std::string_view cell, RouteRow& row);
+  void ParseCells(RouteRow& row);
+  std::optional<CellFault> ParseCell(std::size_t column, std::string_view cell, RouteRow& row);
   void CheckWeights(const RouteRow& row);
   void CheckUniqueRoute(const RouteRow& row);
   void SortRows();
 
-  // Column number (from 1) of a field; 0 when the header lacks it.
+  // @return the CSV column number of a field, counted from 1; 0 when the header lacks the column.
   std::uint32_t ColumnNumber(Column column) const { return result_.column_numbers[column]; }
   void AddFault(std::uint32_t column, CellFault fault) {
     faults_.Add(fault.kind, row_number_, column, std::move(fault.message));
@@ -53,13 +53,13 @@
 
   CsvTable result_;
   FaultList faults_;
-  std::vector<std::string> cells_;   // Of the row being read.
-  std::vector<std::size_t> fields_;  // Field of each CSV column, or kNoColumn.
+  std::vector<std::string> cells_;   // Cells of the current row.
+  std::vector<std::size_t> fields_;  // Field index of each CSV column, or kNoColumn.
   std::uint32_t row_number_ = 1;
-  bool carriage_return_pending_ = false;  // A row ended with CR; LF must follow.
+  bool carriage_return_pending_ = false;  // The last row ended with CR, so LF must follow.
   bool header_read_ = false;
-  std::array<bool, kColumnCount> cell_is_good_{};  // Of the row being read, by field.
-  std::unordered_map<std::string, std::uint32_t> rows_by_route_;
+  std::array<bool, kColumnCount> cell_is_valid_{};  // For the current row, by field.
+  std::unordered_map<std::string, std::uint32_t> row_number_by_route_;
 };
 
 CsvTable TableReader::Read(std::string_view text) {
@@ -79,11 +79,11 @@
   csv_parser parser;
   csv_init(&parser, CSV_STRICT | CSV_STRICT_FINI | CSV_REPALL_NL);
   const std::unique_ptr<csv_parser, void (*)(csv_parser*)> guard(&parser, csv_free);
-  csv_set_space_func(&parser, [](unsigned char) { return 0; });  // Spaces belong to the cell.
-  const bool whole =
+  csv_set_space_func(&parser, [](unsigned char) { return 0; });  // Spaces are part of the cell.
+  const bool well_formed =
       csv_parse(&parser, text.data(), text.size(), OnCell, OnRowEnd, this) == text.size() &&
       csv_fini(&parser, OnCell, OnRowEnd, this) == 0;
-  if (!whole) {
+  if (!well_formed) {
     AddFault(
         static_cast<std::uint32_t>(cells_.size() + 1),
         {ErrorKind::kMalformedCsv, "misplaced or missing double quote; nothing after it was read"});
@@ -99,22 +99,22 @@
 void TableReader::OnCell(void* cell, std::size_t size, void* reader) {
   const std::string_view text =
       size == 0 ? std::string_view() : std::string_view(static_cast<const char*>(cell), size);
-  static_cast<TableReader*>(reader)->TakeCell(text);
+  static_cast<TableReader*>(reader)->HandleCell(text);
 }
 
 void TableReader::OnRowEnd(int terminator, void* reader) {
-  static_cast<TableReader*>(reader)->TakeRowEnd(terminator);
+  static_cast<TableReader*>(reader)->HandleRowEnd(terminator);
 }
 
-void TableReader::TakeCell(std::string_view cell) {
+void TableReader::HandleCell(std::string_view cell) {
   CheckLoneCarriageReturn();
   cells_.emplace_back(cell);
 }
 
-void TableReader::TakeRowEnd(int terminator) {
+void TableReader::HandleRowEnd(int terminator) {
   if (terminator == CSV_LF && carriage_return_pending_) {
     carriage_return_pending_ = false;
-    return;  // The second half of CRLF.
+    return;  // This LF completes a CRLF.
   }
   CheckLoneCarriageReturn();
   FinishRow();
@@ -128,20 +128,20 @@
               "the row ends with CR alone; use LF or CRLF");
 }
 
-// Rows without any cell are blank lines: counted, and otherwise passed over.
+// A row without cells is a blank line, which counts as a row but is otherwise ignored.
 void TableReader::FinishRow() {
   if (!cells_.empty()) {
     if (header_read_) {
-      ReadRow();
+      ParseRow();
     } else {
-      ReadHeader();
+      ParseHeader();
     }
   }
   cells_.clear();
   ++row_number_;
 }
 
-void TableReader::ReadHeader() {
+void TableReader::ParseHeader() {
   header_read_ = true;
   for (std::size_t index = 0; index < cells_.size(); ++index) {
     const auto number = static_cast<std::uint32_t>(index + 1);
@@ -167,7 +167,7 @@
   }
 }
 
-void TableReader::ReadRow() {
+void TableReader::ParseRow() {
   if (result_.table.rows.size() == kMaxTableRows) {
     AddFault(0, {ErrorKind::kOversized,
                  "at most " + std::to_string(kMaxTableRows) + " rows are allowed"});
@@ -175,7 +175,7 @@
   }
   CheckFieldCount();
   RouteRow row;
-  ReadCells(row);
+  ParseCells(row);
   CheckWeights(row);
   CheckUniqueRoute(row);
   result_.table.rows.push_back(std::move(row));
@@ -184,27 +184,27 @@
 
 void TableReader::CheckFieldCount() {
   if (cells_.size() == fields_.size()) return;
-  const std::size_t first_wrong = std::min(cells_.size(), fields_.size()) + 1;
+  const std::size_t first_mismatch = std::min(cells_.size(), fields_.size()) + 1;
   AddFault(
-      static_cast<std::uint32_t>(first_wrong),
+      static_cast<std::uint32_t>(first_mismatch),
       {ErrorKind::kMalformedCsv, "the row has " + std::to_string(cells_.size()) +
                                      " cells, the header has " + std::to_string(fields_.size())});
 }
 
-void TableReader::ReadCells(RouteRow& row) {
-  cell_is_good_.fill(false);
+void TableReader::ParseCells(RouteRow& row) {
+  cell_is_valid_.fill(false);
   const std::size_t count = std::min(cells_.size(), fields_.size());
   for (std::size_t index = 0; index < count; ++index) {
     if (fields_[index] == kNoColumn) continue;
     auto fault = CheckEncoding(cells_[index]);
-    if (!fault) fault = ReadCell(fields_[index], cells_[index], row);
-    cell_is_good_[fields_[index]] = !fault;
+    if (!fault) fault = ParseCell(fields_[index], cells_[index], row);
+    cell_is_valid_[fields_[index]] = !fault;
     if (fault) AddFault(static_cast<std::uint32_t>(index + 1), std::move(*fault));
   }
 }
 
-std::optional<CellFault> TableReader::ReadCell(std::size_t column, std::string_view cell,
-                                               RouteRow& row) {
+std::optional<CellFault> TableReader::ParseCell(std::size_t column, std::string_view cell,
+                                                RouteRow& row) {
   switch (column) {
     case kServiceColumn:
       row.service = cell;
@@ -228,13 +228,13 @@
       return ReadRepeatable(cell, row.repeatable);
     default:
       row.secret = cell;
-      if (cell.empty()) return std::nullopt;  // No secret.
+      if (cell.empty()) return std::nullopt;  // The route has no secret.
       return CheckName("secret", cell);
   }
 }
 
 void TableReader::CheckWeights(const RouteRow& row) {
-  if (!cell_is_good_[kOldWeightColumn] || !cell_is_good_[kNewWeightColumn]) return;
+  if (!cell_is_valid_[kOldWeightColumn] || !cell_is_valid_[kNewWeightColumn]) return;
   const std::uint32_t sum = row.old_weight + row.new_weight;
   if (sum == kMaxWeight) return;
   AddFault(ColumnNumber(kNewWeightColumn),
@@ -244,15 +244,15 @@
 }
 
 void TableReader::CheckUniqueRoute(const RouteRow& row) {
-  if (!cell_is_good_[kRouteColumn]) return;
-  const auto [entry, added] = rows_by_route_.try_emplace(row.route, row_number_);
+  if (!cell_is_valid_[kRouteColumn]) return;
+  const auto [entry, added] = row_number_by_route_.try_emplace(row.route, row_number_);
   if (added) return;
   AddFault(ColumnNumber(kRouteColumn),
            {ErrorKind::kDuplicateRoute, "route " + Quote(row.route) + " stands in row " +
                                             std::to_string(entry->second) + " too"});
 }
 
-// Brings rows and their row numbers into canonical order together.
+// Sorts the rows into canonical order and reorders their row numbers accordingly.
 void TableReader::SortRows() {
   auto& rows = result_.table.rows;
   std::vector<std::size_t> order(rows.size());
--- a/src/table/csv_writer.cc
+++ b/src/table/csv_writer.cc
@@ -11,13 +11,13 @@
 namespace copperlead {
 namespace {
 
-constexpr std::size_t kTypicalRowBytes = 96;
+constexpr std::size_t kEstimatedRowBytes = 96;
 
 bool NeedsQuotes(char character) {
   return character == ',' || character == '"' || character == '\r' || character == '\n';
 }
 
-// Quoted only where RFC 4180 needs it, so that the table stays readable.
+// Appends a cell, quoted only where RFC 4180 requires it, which keeps the table readable.
 void AppendCell(std::string& out, std::string_view cell) {
   if (std::ranges::none_of(cell, NeedsQuotes)) {
     out += cell;
@@ -33,7 +33,7 @@
 
 std::string ToCsv(const Table& table) {
   std::string out;
-  out.reserve((table.rows.size() + 1) * kTypicalRowBytes);
+  out.reserve((table.rows.size() + 1) * kEstimatedRowBytes);
   for (const auto column : kColumnNames) {
     out += column;
     out += ',';
--- a/src/table/diff.cc
+++ b/src/table/diff.cc
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-// Merges the two tables by route; both are sorted by it.
+// Both tables are sorted by route, so one pass over both finds all differences.
 std::vector<RowChange> Diff(const Table& before, const Table& after) {
   std::vector<RowChange> changes;
   auto left = before.rows.begin();
--- a/src/table/fault_list.cc
+++ b/src/table/fault_list.cc
@@ -9,14 +9,15 @@
     faults_.push_back({kind, row, column, std::move(message)});
     return;
   }
-  if (!first_kind_left_out_) first_kind_left_out_ = kind;
-  ++left_out_;
+  if (!first_omitted_kind_) first_omitted_kind_ = kind;
+  ++omitted_count_;
 }
 
 std::vector<TableFault> FaultList::Take() {
-  if (first_kind_left_out_) {
-    faults_.push_back({*first_kind_left_out_, 0, 0,
-                       std::to_string(left_out_) + " more faults are not shown; mend these first"});
+  if (first_omitted_kind_) {
+    faults_.push_back(
+        {*first_omitted_kind_, 0, 0,
+         std::to_string(omitted_count_) + " more faults are not shown; mend these first"});
   }
   return std::move(faults_);
 }
--- a/src/table/fault_list.h
+++ b/src/table/fault_list.h
@@ -1,5 +1,5 @@
-// Collects the faults of one table, bounded, so that a broken upload cannot fill memory or a
-// screen.
+// Collects the faults of a table up to a limit, so that an invalid upload cannot exhaust memory or
+// flood the operator's screen.
 #pragma once
 
 #include <cstddef>
@@ -11,23 +11,24 @@
 
 namespace copperlead {
 
-// Faults reported in full; the others are only counted.
+// Maximum number of faults that are reported individually; further ones are only counted.
 inline constexpr std::size_t kMaxTableFaults = 1'000;
 
-// Not thread-safe.
+// A list of faults with a limit on its length. Not thread-safe.
 class FaultList {
  public:
   void Add(ErrorKind kind, std::uint32_t row, std::uint32_t column, std::string message);
 
-  // @return the faults in the order added; when there were more than kMaxTableFaults, a last entry
-  //         for the whole table (row 0), of the kind of the first one left out, tells their number.
-  //         Call once.
+  // Must be called only once, after the last Add().
+  // @return the faults in the order in which they were added. When there are more than
+  //         kMaxTableFaults, a last entry for the entire table (row 0) gives the number of omitted
+  //         faults and has the kind of the first of them.
   std::vector<TableFault> Take();
 
  private:
   std::vector<TableFault> faults_;
-  std::size_t left_out_ = 0;
-  std::optional<ErrorKind> first_kind_left_out_;
+  std::size_t omitted_count_ = 0;
+  std::optional<ErrorKind> first_omitted_kind_;
 };
 
 }  // namespace copperlead
--- a/src/table/row_cells.h
+++ b/src/table/row_cells.h
@@ -1,4 +1,4 @@
-// The one place that maps a typed row to its cells in canonical column order. Internal to table/.
+// The only mapping of a typed row to its cells in canonical column order. Internal to table/.
 #pragma once
 
 #include <charconv>
@@ -14,7 +14,7 @@
 
 inline constexpr std::size_t kColumnCount = std::size(kColumnNames);
 
-// Index of each column in kColumnNames.
+// Indices of the columns in kColumnNames.
 enum Column : std::size_t {
   kServiceColumn,
   kRouteColumn,
@@ -28,8 +28,8 @@
   kSecretColumn,
 };
 
-// Calls visit(std::string_view) with each cell of a row as text, in canonical order. The text lives
-// until visit returns.
+// Calls visit(std::string_view) with the text of each cell of a row, in canonical column order. The
+// text is valid only until visit returns.
 template <class Visitor>
 void VisitCells(const RouteRow& row, Visitor&& visit) {
   const auto visit_number = [&](std::uint32_t number) {
--- a/src/table/validate.h
+++ b/src/table/validate.h
@@ -1,5 +1,5 @@
-// Checks of a table against the services and secrets that come with it. Pure; the same code runs
-// in `copperlead check`, in the reader and in every node.
+// Validation of a table against the services and secrets that accompany it, without side effects.
+// The same code runs in `copperlead check`, in the reader and in every node.
 #pragma once
 
 #include <set>
@@ -10,12 +10,14 @@
 
 namespace copperlead {
 
-// Every row that names a service or secret which is not there, with its row and column.
-// kUnknownService or kUnknownSecret.
+// @return a fault of kind kUnknownService or kUnknownSecret, with its row and column, for each
+//         reference to a service or secret that does not exist; limited like the faults of
+//         ParseCsv.
 std::vector<TableFault> FindUnknownNames(const CsvTable& csv, const std::set<std::string>& services,
                                          const std::set<std::string>& secrets);
 
-// @return "row 3, column 4: weights_sum: old_weight 60 + new_weight 50 = 110, must be 100".
+// @return a text such as
+//         "row 3, column 4: weights_sum: old_weight 60 + new_weight 50 = 110, must be 100".
 std::string ToString(const TableFault& fault);
 
 }  // namespace copperlead
