--- a/tests/snapshot/bundle_test.cc
+++ b/tests/snapshot/bundle_test.cc
@@ -13,7 +13,7 @@
 using ::testing::ElementsAre;
 using ::testing::IsEmpty;
 
-TEST(SealTest, VersionIsRevisionEpochAndContent) {
+TEST(SealTest, VersionConsistsOfRevisionAndEpoch) {
   Bundle bundle = MakeBundle(2, 2);
   bundle.resource_epoch = 3;
   Seal(bundle);
@@ -22,7 +22,7 @@
   EXPECT_EQ(bundle.table_digest, DigestOf(bundle.table));
 }
 
-TEST(SealTest, ContentDoesNotDependOnTheOrderOfRowsOrOnTheVersion) {
+TEST(SealTest, ContentHashIgnoresRowOrderAndVersion) {
   const Bundle original = MakeBundle(3, 3);
   Bundle shuffled = original;
   std::ranges::reverse(shuffled.table.rows);
@@ -33,7 +33,7 @@
   EXPECT_EQ(shuffled.table, original.table);
 }
 
-TEST(SealTest, ContentKnowsEveryPart) {
+TEST(SealTest, ContentHashDependsOnEveryPart) {
   const Bundle original = MakeBundle(2, 2);
   struct Case {
     const char* name;
@@ -63,7 +63,7 @@
   }
 }
 
-TEST(SealTest, ContentTellsBordersBetweenTextsApart) {
+TEST(SealTest, ContentHashDependsOnStringBoundaries) {
   Bundle left = MakeBundle(1, 1);
   Bundle right = left;
   left.secrets = {{"ab", "c"}};
@@ -73,7 +73,7 @@
   EXPECT_NE(left.version.content, right.version.content);
 }
 
-TEST(MachineListSealTest, SortsAndKnowsEveryField) {
+TEST(MachineListSealTest, SortsByIdAndHashesTheState) {
   const MachineList original = MakeMachines(3);
   MachineList reversed = original;
   std::ranges::reverse(reversed.machines);
@@ -85,7 +85,7 @@
   EXPECT_NE(leaving.version.content, original.version.content);
 }
 
-TEST(MissingNamesTest, NamesEachServiceAndSecretOnce) {
+TEST(MissingResourcesTest, ListsEachServiceAndSecretOnce) {
   Bundle bundle = MakeBundle(2, 3);
   EXPECT_THAT(MissingNames(bundle), IsEmpty());
   bundle.services.erase("service-1");
@@ -93,14 +93,14 @@
   EXPECT_THAT(MissingNames(bundle), ElementsAre("service service-1", "secret token-of-service-0"));
 }
 
-TEST(MissingNamesTest, AnEmptySecretCellNamesNone) {
+TEST(MissingResourcesTest, AnEmptySecretIsNotMissing) {
   Bundle bundle = MakeBundle(1, 1);
   bundle.table.rows[0].secret.clear();
   bundle.secrets.clear();
   EXPECT_THAT(MissingNames(bundle), IsEmpty());
 }
 
-TEST(KeepNamedResourcesTest, KeepsWhatTheTableNamesAndOnlyThat) {
+TEST(RetainReferencedResourcesTest, RetainsOnlyWhatTheTableReferences) {
   const Bundle running = MakeBundle(3, 1);
   Bundle next = running;
   next.services.clear();
--- a/tests/snapshot/fixtures.h
+++ b/tests/snapshot/fixtures.h
@@ -1,4 +1,4 @@
-// Documents that the tests of src/snapshot share.
+// Documents that are shared by the tests of src/snapshot.
 #pragma once
 
 #include <string>
@@ -8,7 +8,8 @@
 
 namespace copperlead {
 
-// A sealed bundle of `services` services ("service-0" ...) with `routes` routes each, complete.
+// @return a sealed and complete bundle of `services` services ("service-0" and so on), each with
+//         `routes` routes.
 inline Bundle MakeBundle(std::size_t services, std::size_t routes) {
   Bundle bundle;
   bundle.revision = 7;
@@ -31,7 +32,7 @@
   return bundle;
 }
 
-// A sealed list of `count` live back ends.
+// @return a sealed list of `count` live back ends.
 inline MachineList MakeMachines(std::size_t count) {
   MachineList list;
   list.sequence = 31;
--- a/tests/snapshot/source_documents_test.cc
+++ b/tests/snapshot/source_documents_test.cc
@@ -42,7 +42,7 @@
   return text.replace(text.find(part), part.size(), replacement);
 }
 
-TEST(ParseConfigurationTest, ReadsTheDocument) {
+TEST(ParseConfigurationTest, ParsesTheDocument) {
   const auto outcome = Resolve([] { return ParseConfiguration(Configuration()); });
   ASSERT_TRUE(outcome.ok()) << ToString(outcome.error());
   const Bundle& bundle = outcome.value().bundle;
@@ -54,7 +54,7 @@
   EXPECT_THAT(MissingNames(bundle), IsEmpty());
 }
 
-TEST(ParseConfigurationTest, KeepsTableFaultsApartFromUnreadableBodies) {
+TEST(ParseConfigurationTest, ReportsTableFaultsSeparatelyFromInvalidBodies) {
   const std::string body = Configuration("7", Replace(kTable, "60,40", "60,50"), "{}");
   const auto outcome = Resolve([&] { return ParseConfiguration(body); });
   ASSERT_TRUE(outcome.ok()) << ToString(outcome.error());
@@ -67,7 +67,7 @@
   std::string name;
   std::string body;
   ErrorKind kind;
-  std::string place;  // What the place starts with.
+  std::string place;  // Expected start of the error's place.
 };
 
 std::string NameOf(const ::testing::TestParamInfo<BodyCase>& info) { return info.param.name; }
@@ -79,7 +79,7 @@
 
 class BadConfigurationTest : public ::testing::TestWithParam<BodyCase> {};
 
-TEST_P(BadConfigurationTest, IsRefusedNamingThePlace) {
+TEST_P(BadConfigurationTest, IsRejectedWithThePlace) {
   const auto outcome = Resolve([&] { return ParseConfiguration(GetParam().body); });
   ASSERT_FALSE(outcome.ok());
   ExpectFault(outcome.error(), GetParam());
@@ -89,7 +89,7 @@
     Json, BadConfigurationTest,
     ::testing::Values(
         BodyCase{"Empty", "", ErrorKind::kMalformedJson, "line 1, byte 1"},
-        BodyCase{"Cut", "{\"revision\": 7,\n", ErrorKind::kMalformedJson, "line 2, byte 17"},
+        BodyCase{"Truncated", "{\"revision\": 7,\n", ErrorKind::kMalformedJson, "line 2, byte 17"},
         BodyCase{"TrailingComma", "{\"a\":\n1,}", ErrorKind::kMalformedJson, "line 2, byte 9"},
         BodyCase{"SecondValue", "{}\n{}", ErrorKind::kMalformedJson, "line 2, byte 4"},
         BodyCase{"NotUtf8", "{\"a\": \"\xff\"}", ErrorKind::kMalformedJson, "line 1, byte 8"},
@@ -136,7 +136,7 @@
                  ErrorKind::kBadValue, "line 4"}),
     NameOf);
 
-TEST(ParseConfigurationTest, BoundsTheNumberOfValues) {
+TEST(ParseConfigurationTest, LimitsTheNumberOfValues) {
   std::string body = "[0";
   for (int value = 0; value < 2'000'000; ++value) body += ",0";
   const auto outcome = Resolve([&] { return ParseConfiguration(body + "]"); });
@@ -144,7 +144,7 @@
   EXPECT_EQ(outcome.error().cause, "more than 2000000 values");
 }
 
-TEST(ParseConfigurationTest, NoMessageQuotesASecret) {
+TEST(ParseConfigurationTest, ErrorMessagesDoNotQuoteSecrets) {
   const std::string bodies[] = {
       Configuration("7", kTable, kServices, R"({"x": "c2VjcmV0c2VjcmV0!"})"),
       Configuration("7", kTable, kServices, R"({"x": "c2VjcmV0c2VjcmV0)"),
@@ -160,7 +160,7 @@
   }
 }
 
-TEST(ParseMachinesTest, ReadsBothKindsSorted) {
+TEST(ParseMachinesTest, ParsesBothKindsAndSortsThemById) {
   const auto outcome = Resolve([] { return ParseMachines(Machines(kBackend + ",\n" + kNode)); });
   ASSERT_TRUE(outcome.ok()) << ToString(outcome.error());
   const MachineList& list = outcome.value();
@@ -176,7 +176,7 @@
 
 class BadMachinesTest : public ::testing::TestWithParam<BodyCase> {};
 
-TEST_P(BadMachinesTest, IsRefusedNamingTheEntry) {
+TEST_P(BadMachinesTest, IsRejectedWithThePlaceOfTheEntry) {
   const auto outcome = Resolve([&] { return ParseMachines(GetParam().body); });
   ASSERT_FALSE(outcome.ok());
   ExpectFault(outcome.error(), GetParam());
@@ -196,10 +196,11 @@
                  "line 3"},
         BodyCase{"BackendWithoutService", Machines(Replace(kBackend, "\"service\"", "\"x\"")),
                  ErrorKind::kMalformedJson, "line 2"},
-        BodyCase{"AddressByName", Machines(Replace(kNode, "[::1]:7001", "localhost:7001")),
+        BodyCase{"AddressIsNotNumeric", Machines(Replace(kNode, "[::1]:7001", "localhost:7001")),
                  ErrorKind::kBadValue, "line 2"},
         BodyCase{"EmptyId", Machines(Replace(kNode, "node-1", "")), ErrorKind::kBadValue, "line 2"},
-        BodyCase{"IdTwice", Machines(kNode + ",\n" + kNode), ErrorKind::kBadValue, "line 4, byte"}),
+        BodyCase{"DuplicateId", Machines(kNode + ",\n" + kNode), ErrorKind::kBadValue,
+                 "line 4, byte"}),
     NameOf);
 
 }  // namespace
--- a/tests/snapshot/transfer_test.cc
+++ b/tests/snapshot/transfer_test.cc
@@ -23,12 +23,12 @@
   return transfer;
 }
 
-ErrorKind KindOf(const Transfer& transfer, const Bundle* base) {
+ErrorKind DecodeErrorKind(const Transfer& transfer, const Bundle* base) {
   const auto outcome = Resolve([&] { return DecodeBundle(transfer, base); });
   return outcome.ok() ? ErrorKind::kCount : outcome.error().kind;
 }
 
-void ExpectSame(const Bundle& actual, const Bundle& expected) {
+void ExpectEqualBundles(const Bundle& actual, const Bundle& expected) {
   EXPECT_EQ(actual.version, expected.version);
   EXPECT_EQ(actual.table, expected.table);
   EXPECT_EQ(actual.services, expected.services);
@@ -38,12 +38,12 @@
   EXPECT_EQ(actual.resource_epoch, expected.resource_epoch);
 }
 
-// The base and a target that differs in rows, services and secrets in all three ways.
-struct Pair {
+// A base bundle and a target in which rows, services and secrets were added, changed and removed.
+struct BaseAndTarget {
   Bundle base = MakeBundle(kServices, kRoutes);
   Bundle target = base;
 
-  Pair() {
+  BaseAndTarget() {
     target.revision = 8;
     target.resource_epoch = 1;
     target.table.rows[0].old_weight = 50;
@@ -62,16 +62,16 @@
   }
 };
 
-TEST(TransferTest, WholeAndDeltaRebuildTheTarget) {
-  const Pair pair;
+TEST(TransferTest, FullAndDeltaTransfersReconstructTheTarget) {
+  const BaseAndTarget pair;
   const auto whole = Resolve([&] { return DecodeBundle(EncodeWhole(pair.target), nullptr); });
   ASSERT_TRUE(whole.ok()) << ToString(whole.error());
-  ExpectSame(*whole.value(), pair.target);
+  ExpectEqualBundles(*whole.value(), pair.target);
   const Transfer delta = EncodeDelta(pair.base, pair.target);
   EXPECT_FALSE(delta.whole());
   const auto rebuilt = Resolve([&] { return DecodeBundle(delta, &pair.base); });
   ASSERT_TRUE(rebuilt.ok()) << ToString(rebuilt.error());
-  ExpectSame(*rebuilt.value(), pair.target);
+  ExpectEqualBundles(*rebuilt.value(), pair.target);
 }
 
 TEST(TransferTest, DeltaOfOneCellIsSmall) {
@@ -85,10 +85,10 @@
   RecordProperty("delta_bytes", static_cast<int>(delta.payload->size()));
   RecordProperty("whole_bytes", static_cast<int>(EncodeWhole(target).payload->size()));
   EXPECT_LT(delta.payload->size(), 200U);
-  ExpectSame(*Resolve([&] { return DecodeBundle(delta, &base); }).value(), target);
+  ExpectEqualBundles(*Resolve([&] { return DecodeBundle(delta, &base); }).value(), target);
 }
 
-TEST(TransferTest, MachinesTravelWholeAndAsDelta) {
+TEST(TransferTest, MachinesAreTransferredInFullAndAsDelta) {
   const MachineList base = MakeMachines(1000);
   MachineList target = base;
   target.sequence = 32;
@@ -110,43 +110,44 @@
   }
 }
 
-TEST(TransferTest, RefusesAWrongOrMissingBase) {
-  const Pair pair;
+TEST(TransferTest, RejectsAWrongOrMissingBase) {
+  const BaseAndTarget pair;
   const Transfer delta = EncodeDelta(pair.base, pair.target);
   Bundle same_revision_other_content = pair.base;
   same_revision_other_content.secrets["token-of-service-0"] = "other";
   Seal(same_revision_other_content);
-  EXPECT_EQ(KindOf(delta, nullptr), ErrorKind::kUnknownBase);
-  EXPECT_EQ(KindOf(delta, &pair.target), ErrorKind::kUnknownBase);
-  EXPECT_EQ(KindOf(delta, &same_revision_other_content), ErrorKind::kUnknownBase);
+  EXPECT_EQ(DecodeErrorKind(delta, nullptr), ErrorKind::kUnknownBase);
+  EXPECT_EQ(DecodeErrorKind(delta, &pair.target), ErrorKind::kUnknownBase);
+  EXPECT_EQ(DecodeErrorKind(delta, &same_revision_other_content), ErrorKind::kUnknownBase);
 }
 
-TEST(TransferTest, RefusesContentThatIsNotWhatTheVersionStates) {
-  const Pair pair;
+TEST(TransferTest, RejectsContentThatDoesNotMatchTheVersion) {
+  const BaseAndTarget pair;
   struct Case {
     const char* name;
     void (*change)(DocumentVersion&);
   };
   const Case cases[] = {
       {"content", [](DocumentVersion& version) { version.content ^= 1; }},
-      {"content of zero", [](DocumentVersion& version) { version.content = 0; }},
+      {"zero hash", [](DocumentVersion& version) { version.content = 0; }},
   };
   for (const auto& test_case : cases) {
     for (Transfer transfer : {EncodeWhole(pair.target), EncodeDelta(pair.base, pair.target)}) {
       test_case.change(transfer.version);
-      EXPECT_EQ(KindOf(transfer, &pair.base), ErrorKind::kDigestMismatch) << test_case.name;
+      EXPECT_EQ(DecodeErrorKind(transfer, &pair.base), ErrorKind::kDigestMismatch)
+          << test_case.name;
     }
   }
   const Transfer other = WithPayload(EncodeWhole(pair.target), *EncodeWhole(pair.base).payload);
-  EXPECT_EQ(KindOf(other, nullptr), ErrorKind::kDigestMismatch);
+  EXPECT_EQ(DecodeErrorKind(other, nullptr), ErrorKind::kDigestMismatch);
 }
 
-TEST(TransferTest, RefusesFaultyPayloads) {
+TEST(TransferTest, RejectsInvalidPayloads) {
   const Bundle bundle = MakeBundle(2, 2);
   const Transfer whole = EncodeWhole(bundle);
   const std::string plain =
       Resolve([&] { return Decompress(*whole.payload, kMaxDocumentBytes); }).value();
-  // A huge number at the place of the count of rows, which follows the byte order's flag.
+  // Overwrites the number at `offset`. The row count is at offset 1, after the byte order flag.
   const auto with_number = [&](std::size_t offset, std::uint32_t number) {
     std::string bytes = plain;
     for (std::size_t index = 0; index < sizeof(number); ++index) {
@@ -165,36 +166,37 @@
       {"cut", whole.payload->substr(0, whole.payload->size() - 3), ErrorKind::kBadFrame},
       {"two frames", *whole.payload + *whole.payload, ErrorKind::kBadFrame},
       {"empty document", Compress(""), ErrorKind::kBadFrame},
-      {"document cut", Compress(plain.substr(0, plain.size() - 1)), ErrorKind::kBadFrame},
-      {"bytes left over", Compress(plain + "x"), ErrorKind::kBadFrame},
-      {"most rows", with_number(1, 0xffffffff), ErrorKind::kBadFrame},
+      {"truncated document", Compress(plain.substr(0, plain.size() - 1)), ErrorKind::kBadFrame},
+      {"trailing bytes", Compress(plain + "x"), ErrorKind::kBadFrame},
+      {"largest row count", with_number(1, 0xffffffff), ErrorKind::kBadFrame},
       {"more rows than bytes", with_number(1, 90'000), ErrorKind::kBadFrame},
-      {"longest text", with_number(5, 0xffffffff), ErrorKind::kBadFrame},
-      {"text past the end", with_number(5, static_cast<std::uint32_t>(plain.size())),
+      {"largest string length", with_number(5, 0xffffffff), ErrorKind::kBadFrame},
+      {"string past the end", with_number(5, static_cast<std::uint32_t>(plain.size())),
        ErrorKind::kBadFrame},
       {"too large", Compress(std::string(kMaxDocumentBytes + 1, '\0')), ErrorKind::kOversized},
   };
   for (const auto& test_case : cases) {
-    EXPECT_EQ(KindOf(WithPayload(whole, test_case.payload), nullptr), test_case.kind)
+    EXPECT_EQ(DecodeErrorKind(WithPayload(whole, test_case.payload), nullptr), test_case.kind)
         << test_case.name;
   }
   Transfer none = whole;
   none.payload = nullptr;
-  EXPECT_EQ(KindOf(none, nullptr), ErrorKind::kBadFrame);
+  EXPECT_EQ(DecodeErrorKind(none, nullptr), ErrorKind::kBadFrame);
   Transfer machines = whole;
   machines.stream = StreamKind::kMachines;
-  EXPECT_EQ(KindOf(machines, nullptr), ErrorKind::kBadFrame);
+  EXPECT_EQ(DecodeErrorKind(machines, nullptr), ErrorKind::kBadFrame);
 }
 
 TEST(DecompressTest, ChecksTheStatedSizeBeforeAllocating) {
-  // A frame header of 8 content-size bytes which states nearly 2^64 bytes: allocating would throw.
+  // The frame header has an 8-byte content size that states nearly 2^64 bytes. Allocating that many
+  // bytes would throw.
   const std::string bomb = std::string("\x28\xb5\x2f\xfd\xe0", 5) + std::string(8, '\xf0');
   const auto outcome = Resolve([&] { return Decompress(bomb, kMaxDocumentBytes); });
   ASSERT_FALSE(outcome.ok());
   EXPECT_EQ(outcome.error().kind, ErrorKind::kOversized);
 }
 
-TEST(DocumentReaderTest, RefusesCountsBeyondTheBytesLeft) {
+TEST(DocumentReaderTest, RejectsCountsThatExceedTheRemainingBytes) {
   DocumentWriter writer;
   writer.WriteUint32(90'000);
   const std::string bytes = writer.Take();
@@ -211,15 +213,16 @@
     DocumentReader reader(bytes);
     EXPECT_THROW(read(reader), BadDocument);
   }
-  // The count itself is refused, before any item is allocated or read.
+  // The count itself is rejected, before an item is allocated or read.
   DocumentReader reader(bytes);
   EXPECT_THROW(reader.ReadCount(1), BadDocument);
 }
 
-// Damaged payloads never give another document than the one stated, and never crash.
-TEST(TransferTest, NoDamageGoesUnseen) {
+// A damaged payload must not decode to a document other than the one that its version states, and
+// must not crash the decoder.
+TEST(TransferTest, DamagedPayloadsNeverDecodeToAnotherDocument) {
   constexpr int kRounds = 3000;
-  const Pair pair;
+  const BaseAndTarget pair;
   const Transfer delta = EncodeDelta(pair.base, pair.target);
   const std::string plain =
       Resolve([&] { return Decompress(*delta.payload, kMaxDocumentBytes); }).value();
@@ -233,7 +236,7 @@
     }
     const Transfer damaged = WithPayload(delta, inside ? Compress(bytes) : bytes);
     const auto outcome = Resolve([&] { return DecodeBundle(damaged, &pair.base); });
-    if (outcome.ok()) ExpectSame(*outcome.value(), pair.target);
+    if (outcome.ok()) ExpectEqualBundles(*outcome.value(), pair.target);
   }
 }
 
--- a/tests/table/csv_test.cc
+++ b/tests/table/csv_test.cc
@@ -19,7 +19,7 @@
     "service,route,old_weight,new_weight,timeout_ms,requests_per_second,max_in_flight,max_retries,"
     "repeatable,secret\n";
 
-// A table of one row whose cells are replaced by the case.
+// The cells of a valid row. A test case replaces some of them.
 struct Cells {
   std::string service = "permit-desk";
   std::string route = "/permits";
@@ -41,7 +41,7 @@
 
 std::string TableOf(const Cells& cells) { return std::string(kHeader) + RowOf(cells); }
 
-// "kind row:column" of each fault, for short expectations.
+// @return the text "kind row:column" for each fault, which keeps the expectations short.
 std::vector<std::string> Places(const std::vector<TableFault>& faults) {
   std::vector<std::string> places;
   for (const auto& fault : faults) {
@@ -59,7 +59,7 @@
 
 class CsvFaultTest : public ::testing::TestWithParam<FaultCase> {};
 
-TEST_P(CsvFaultTest, NamesKindRowAndColumn) {
+TEST_P(CsvFaultTest, ReportsKindRowAndColumn) {
   const CsvTable csv = ParseCsv(GetParam().text);
   std::string all;
   for (const auto& fault : csv.faults) all += ToString(fault) + "\n";
@@ -68,44 +68,47 @@
 
 std::string NameOf(const ::testing::TestParamInfo<FaultCase>& info) { return info.param.name; }
 
-const std::string kGoodRow = RowOf({});
+const std::string kValidRow = RowOf({});
 const std::string kOtherRow = RowOf({.route = "/other"});
-const std::string kH(kHeader);
+const std::string kHeaderText(kHeader);
 
 INSTANTIATE_TEST_SUITE_P(
     Form, CsvFaultTest,
-    Values(FaultCase{"EmptyText", "", {"malformed_csv 1:0"}},
-           FaultCase{"ByteOrderMark", "\xef\xbb\xbf" + kH + kGoodRow, {"bad_encoding 1:1"}},
-           FaultCase{"MissingColumns",
-                     "service,route\nx,/y\n",
-                     {"missing_column 1:0", "missing_column 1:0", "missing_column 1:0",
-                      "missing_column 1:0", "missing_column 1:0", "missing_column 1:0",
-                      "missing_column 1:0", "missing_column 1:0"}},
-           FaultCase{"UnknownColumn",
-                     kH.substr(0, kH.size() - 1) + ",colour\n" + kGoodRow,
-                     {"unknown_column 1:11", "malformed_csv 2:11"}},
-           FaultCase{"DuplicateColumn",
-                     kH.substr(0, kH.size() - 1) + ",route\n" +
-                         kGoodRow.substr(0, kGoodRow.size() - 1) + ",/z\n",
-                     {"malformed_csv 1:11"}},
-           FaultCase{
-               "SpaceInHeader", " " + kH + kGoodRow, {"unknown_column 1:1", "missing_column 1:0"}},
-           FaultCase{"TooFewCells", kH + "permit-desk,/a,100,0\n", {"malformed_csv 2:5"}},
-           FaultCase{"TooManyCells",
-                     kH + kGoodRow.substr(0, kGoodRow.size() - 1) + ",\n",
-                     {"malformed_csv 2:11"}},
-           FaultCase{"QuoteInsideCell",
-                     kH + kOtherRow + "per\"mit,/a,100,0,1,0,0,0,no,\n",
-                     {"malformed_csv 3:1"}},
-           FaultCase{"QuoteNeverClosed", kH + kOtherRow + "x,\"/a,100,0\n", {"malformed_csv 3:2"}},
-           FaultCase{"LoneCarriageReturn",
-                     kH.substr(0, kH.size() - 1) + "\r" + kGoodRow,
-                     {"malformed_csv 1:0"}},
-           FaultCase{"NulByte", TableOf({.service = std::string("a\0b", 3)}), {"bad_encoding 2:1"}},
-           FaultCase{"NotUtf8", TableOf({.service = "g\xf6l"}), {"bad_encoding 2:1"}},
-           FaultCase{"OverlongUtf8", TableOf({.secret = "\xc0\xaf"}), {"bad_encoding 2:10"}},
-           FaultCase{"Surrogate", TableOf({.secret = "\xed\xa0\x80"}), {"bad_encoding 2:10"}},
-           FaultCase{"Oversized", std::string(kMaxTableBytes + 1, 'x'), {"oversized 0:0"}}),
+    Values(
+        FaultCase{"EmptyText", "", {"malformed_csv 1:0"}},
+        FaultCase{"ByteOrderMark", "\xef\xbb\xbf" + kHeaderText + kValidRow, {"bad_encoding 1:1"}},
+        FaultCase{"MissingColumns",
+                  "service,route\nx,/y\n",
+                  {"missing_column 1:0", "missing_column 1:0", "missing_column 1:0",
+                   "missing_column 1:0", "missing_column 1:0", "missing_column 1:0",
+                   "missing_column 1:0", "missing_column 1:0"}},
+        FaultCase{"UnknownColumn",
+                  kHeaderText.substr(0, kHeaderText.size() - 1) + ",colour\n" + kValidRow,
+                  {"unknown_column 1:11", "malformed_csv 2:11"}},
+        FaultCase{"DuplicateColumn",
+                  kHeaderText.substr(0, kHeaderText.size() - 1) + ",route\n" +
+                      kValidRow.substr(0, kValidRow.size() - 1) + ",/z\n",
+                  {"malformed_csv 1:11"}},
+        FaultCase{"SpaceInHeader",
+                  " " + kHeaderText + kValidRow,
+                  {"unknown_column 1:1", "missing_column 1:0"}},
+        FaultCase{"TooFewCells", kHeaderText + "permit-desk,/a,100,0\n", {"malformed_csv 2:5"}},
+        FaultCase{"TooManyCells",
+                  kHeaderText + kValidRow.substr(0, kValidRow.size() - 1) + ",\n",
+                  {"malformed_csv 2:11"}},
+        FaultCase{"QuoteInsideCell",
+                  kHeaderText + kOtherRow + "per\"mit,/a,100,0,1,0,0,0,no,\n",
+                  {"malformed_csv 3:1"}},
+        FaultCase{
+            "QuoteNeverClosed", kHeaderText + kOtherRow + "x,\"/a,100,0\n", {"malformed_csv 3:2"}},
+        FaultCase{"LoneCarriageReturn",
+                  kHeaderText.substr(0, kHeaderText.size() - 1) + "\r" + kValidRow,
+                  {"malformed_csv 1:0"}},
+        FaultCase{"NulByte", TableOf({.service = std::string("a\0b", 3)}), {"bad_encoding 2:1"}},
+        FaultCase{"NotUtf8", TableOf({.service = "g\xf6l"}), {"bad_encoding 2:1"}},
+        FaultCase{"OverlongUtf8", TableOf({.secret = "\xc0\xaf"}), {"bad_encoding 2:10"}},
+        FaultCase{"Surrogate", TableOf({.secret = "\xed\xa0\x80"}), {"bad_encoding 2:10"}},
+        FaultCase{"Oversized", std::string(kMaxTableBytes + 1, 'x'), {"oversized 0:0"}}),
     NameOf);
 
 INSTANTIATE_TEST_SUITE_P(
@@ -140,7 +143,7 @@
 
 class BadRouteTest : public ::testing::TestWithParam<const char*> {};
 
-TEST_P(BadRouteTest, IsRefused) {
+TEST_P(BadRouteTest, IsRejected) {
   const CsvTable csv = ParseCsv(TableOf({.route = GetParam()}));
   EXPECT_EQ(Places(csv.faults), std::vector<std::string>{"bad_route 2:2"}) << GetParam();
 }
@@ -150,21 +153,21 @@
                                 "/a/../b", "/a/..", "/a?b", "/a#b", "/a%20b", "/a\tb", "/a\x7f",
                                 "/a b", "/a\\b", "/g\xc3\xb6l"));
 
-TEST(ParseCsvTest, TakesRoutesThatOnlyLookBad) {
+TEST(ParseCsvTest, AcceptsRoutesThatOnlyLookInvalid) {
   for (const char* route : {"/", "/a", "/...", "/.well-known", "/a..b", "/~x/-_!$&'()*+=:@;"}) {
     const CsvTable csv = ParseCsv(TableOf({.route = route}));
     EXPECT_THAT(Places(csv.faults), ::testing::IsEmpty()) << route;
   }
 }
 
-TEST(ParseCsvTest, TakesEveryFormRfc4180Allows) {
+TEST(ParseCsvTest, AcceptsTheFormsThatRfc4180Allows) {
   const Table plain = ParseCsv(TableOf({}) + kOtherRow).table;
   ASSERT_EQ(plain.rows.size(), 2U);
   std::string with_crlf;
   for (const char character : TableOf({}) + kOtherRow) {
     with_crlf += character == '\n' ? "\r\n" : std::string(1, character);
   }
-  const std::string quoted = std::string(kHeader) + "\"permit-desk\"," + kGoodRow.substr(12);
+  const std::string quoted = std::string(kHeader) + "\"permit-desk\"," + kValidRow.substr(12);
   const std::string reordered =
       "route,service,secret,repeatable,max_retries,max_in_flight,requests_per_second,timeout_ms,"
       "new_weight,old_weight\n/permits,permit-desk,permit-token,by-method,1,0,0,2000,40,60\n";
@@ -174,7 +177,7 @@
       TableOf({}) + kOtherRow.substr(0, kOtherRow.size() - 1),
       quoted + kOtherRow,
       reordered + "/other,permit-desk,permit-token,by-method,1,0,0,2000,40,60",
-      std::string(kHeader) + kOtherRow + "\n" + kGoodRow + "\n\n",
+      std::string(kHeader) + kOtherRow + "\n" + kValidRow + "\n\n",
   };
   for (const auto& text : texts) {
     const CsvTable csv = ParseCsv(text);
@@ -184,7 +187,7 @@
   }
 }
 
-TEST(ParseCsvTest, WritesWhatItReads) {
+TEST(ParseCsvTest, FormattedCsvParsesToTheSameTable) {
   const Table table =
       ParseCsv(TableOf({.service = "\"a \"\"quoted\"\", name\""}) + kOtherRow).table;
   EXPECT_EQ(table.rows.back().service, "a \"quoted\", name");
@@ -193,13 +196,13 @@
   EXPECT_EQ(again.table, table);
 }
 
-TEST(ParseCsvTest, KeepsRowNumbersThroughSortingAndBlankLines) {
+TEST(ParseCsvTest, KeepsRowNumbersDespiteSortingAndBlankLines) {
   const CsvTable csv = ParseCsv(std::string(kHeader) + RowOf({.route = "/z"}) + "\n" +
                                 RowOf({.route = "/a"}) + RowOf({.route = "/m"}));
   EXPECT_EQ(csv.row_numbers, (std::vector<std::uint32_t>{4, 5, 2}));
 }
 
-TEST(ParseCsvTest, BoundsTheFaultsAndTellsHowManyMore) {
+TEST(ParseCsvTest, LimitsTheFaultsAndReportsTheNumberOmitted) {
   std::string text(kHeader);
   for (std::size_t row = 0; row < kMaxTableFaults + 7; ++row) {
     text += RowOf({.route = "/r" + std::to_string(row), .new_weight = "41"});
@@ -210,7 +213,7 @@
   EXPECT_EQ(csv.faults.back().message, "7 more faults are not shown; mend these first");
 }
 
-TEST(ParseCsvTest, RefusesMoreRowsThanAllowed) {
+TEST(ParseCsvTest, RejectsMoreRowsThanAllowed) {
   std::string text(kHeader);
   for (std::size_t row = 0; row <= kMaxTableRows; ++row) {
     text += RowOf({.route = "/r" + std::to_string(row)});
@@ -219,7 +222,7 @@
             std::vector<std::string>{"oversized " + std::to_string(kMaxTableRows + 2) + ":0"});
 }
 
-TEST(FindUnknownNamesTest, NamesTheCellInTheOrderOfRows) {
+TEST(FindUnknownNamesTest, ReportsCellsInRowOrder) {
   const CsvTable csv =
       ParseCsv(TableOf({.route = "/z", .secret = "lost"}) + RowOf({.service = "elsewhere"}) +
                RowOf({.route = "/b", .secret = ""}));
@@ -228,13 +231,13 @@
             (std::vector<std::string>{"unknown_secret 2:10", "unknown_service 3:1"}));
 }
 
-TEST(ToStringTest, ReadsLikeTheHeaderSays) {
+TEST(ToStringTest, FormatsPlaceKindAndMessage) {
   const auto faults = ParseCsv(TableOf({.new_weight = "50"})).faults;
   EXPECT_EQ(ToString(faults.at(0)),
             "row 2, column 4: weights_sum: old_weight 60 + new_weight 50 = 110, must be 100");
 }
 
-TEST(DiffTest, GivesAddedRemovedAndChangedCellsInRouteOrder) {
+TEST(DiffTest, ReportsAddedRemovedAndChangedRowsInRouteOrder) {
   const Table before =
       ParseCsv(TableOf({.route = "/a"}) + RowOf({.route = "/b"}) + RowOf({.route = "/d"})).table;
   const Table after = ParseCsv(TableOf({.route = "/b", .old_weight = "50", .new_weight = "50"}) +
@@ -253,7 +256,7 @@
   EXPECT_THAT(Diff(after, after), ::testing::IsEmpty());
 }
 
-TEST(DigestTest, KnowsEveryCell) {
+TEST(DigestTest, DependsOnEveryCell) {
   const Digest original = DigestOf(ParseCsv(TableOf({})).table);
   const std::string other_tables[] = {
       TableOf({.service = "permit"}),
