--- a/src/admin/metrics.cc
+++ b/src/admin/metrics.cc
@@ -38,7 +38,7 @@
      "Messages that could not be sent"},
     {&MetricValues::bad_frames, kCounter, "copperlead_bad_frames_total",
      "Frames that were malformed or too large"},
-    {&MetricValues::unsealed_frames, kCounter, "copperlead_unsealed_frames_total",
+    {&MetricValues::unseal_failures, kCounter, "copperlead_unsealed_frames_total",
      "Frames under a wrong key, or altered on the way"},
     {&MetricValues::dropped_events, kCounter, "copperlead_dropped_events_total",
      "Messages dropped because too many waited"},
--- a/src/admin/metrics.h
+++ b/src/admin/metrics.h
@@ -19,7 +19,7 @@
   std::uint64_t control_messages_received = 0;
   std::uint64_t control_send_failures = 0;
   std::uint64_t bad_frames = 0;
-  std::uint64_t unsealed_frames = 0;
+  std::uint64_t unseal_failures = 0;
   std::uint64_t dropped_events = 0;
   std::uint64_t running_revision = 0;
   std::uint64_t floor_revision = 0;
--- a/src/admin/node_status.cc
+++ b/src/admin/node_status.cc
@@ -40,8 +40,8 @@
 FleetEntry EntryOf(const Member& member, Timestamp now) {
   FleetEntry entry{member.record.id, member.record.zone, member.record.state,
                    member.record.configuration.major, std::nullopt};
-  if (member.last_heard != Timestamp{}) {
-    entry.last_heard_ms_ago = MillisecondsBetween(member.last_heard, now);
+  if (member.last_contact != Timestamp{}) {
+    entry.last_heard_ms_ago = MillisecondsBetween(member.last_contact, now);
   }
   return entry;
 }
--- a/src/admin/status_json.cc
+++ b/src/admin/status_json.cc
@@ -18,8 +18,9 @@
                                   VersionVerdict::kRefusedConflict, VersionVerdict::kRefusedFaulty};
 
 Json ToJson(const DocumentVersion& version) {
-  return {
-      {"revision", version.major}, {"resource_epoch", version.minor}, {"content", version.content}};
+  return {{"revision", version.major},
+          {"resource_epoch", version.minor},
+          {"content", version.content_hash}};
 }
 
 Json ToJson(const Offer& offer) {
--- a/src/base/error.cc
+++ b/src/base/error.cc
@@ -56,7 +56,7 @@
     {ErrorKind::kCallerGone, "caller_gone", 499, RequestOutcome::kUnknown, 0, 1},
     {ErrorKind::kUsage, "usage", 0, RequestOutcome::kNone, 0, 2},
     {ErrorKind::kUnreachable, "unreachable", 0, RequestOutcome::kNone, 0, 3},
-    {ErrorKind::kNotSo, "not_so", 0, RequestOutcome::kNone, 0, 1},
+    {ErrorKind::kUnexpectedStatus, "not_so", 0, RequestOutcome::kNone, 0, 1},
     {ErrorKind::kImpossiblePlan, "impossible_plan", 0, RequestOutcome::kNone, 0, 1},
     {ErrorKind::kInternal, "internal", 500, RequestOutcome::kUnknown, 0, 1},
 }};
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -64,7 +64,7 @@
   // Errors of the command line tools.
   kUsage,
   kUnreachable,
-  kNotSo,
+  kUnexpectedStatus,
   kImpossiblePlan,
   kInternal,
   kCount,  // Number of error kinds; not an error kind itself.
--- a/src/distribution/agent_messages.cc
+++ b/src/distribution/agent_messages.cc
@@ -42,7 +42,7 @@
                                    const JoinReply& reply) {
   join_gate_.RecordReply(sender.id);
   configuration_.ledger().RaiseFloor(reply.remembered);
-  configuration_.ledger().RaiseFloor(membership_.HighestHeard());
+  configuration_.ledger().RaiseFloor(membership_.HighestVersionReceived());
 }
 
 void Agent::Implementation::OnBody(Timestamp now, const MemberRecord& sender, const Push& push) {
@@ -65,7 +65,7 @@
 void Agent::Implementation::RequestDecodable(Timestamp now, const MemberRecord& sender,
                                              const Transfer& transfer, ReceiveResult result) {
   Repairer& repairer = RepairerOf(transfer.stream);
-  if (transfer.whole()) {
+  if (transfer.is_full()) {
     repairer.OnUndecodable(now);
     return;
   }
@@ -108,7 +108,7 @@
   if (!Supersedes(stream.running(), pull.have)) return;
   if (PusherOf(pull.stream).ResendFrom(now, sender.id, pull.have)) return;
   Transfer transfer = stream.TransferFrom(pull.have);
-  if (transfer.whole() && !whole_transfer_limiter_.TryAdmit(now)) {
+  if (transfer.is_full() && !whole_transfer_limiter_.TryAdmit(now)) {
     const auto wait = std::chrono::ceil<Milliseconds>(whole_transfer_limiter_.RetryDelay(now));
     outbox_.Send(sender.address, Busy{pull.stream, static_cast<std::uint32_t>(wait.count())});
     return;
--- a/src/distribution/configuration_stream.cc
+++ b/src/distribution/configuration_stream.cc
@@ -46,8 +46,8 @@
 ReceiveResult ConfigurationStream::Receive(Timestamp now, const Transfer& transfer,
                                            const std::string& origin) {
   if (WasDecided(transfer.version)) return ReceiveResult::kNotTaken;
-  const Bundle* base = transfer.whole() ? nullptr : store_.Find(transfer.base);
-  if (!transfer.whole() && base == nullptr) {
+  const Bundle* base = transfer.is_full() ? nullptr : store_.Find(transfer.base);
+  if (!transfer.is_full() && base == nullptr) {
     return Wants(transfer.version) ? ReceiveResult::kUnknownBase : ReceiveResult::kNotTaken;
   }
   const auto decoded = Resolve([&] { return decoder_.Configuration(transfer, base); });
@@ -71,7 +71,7 @@
   offer.table_digest = bundle->table_digest;
   offer.faulty = faulty;
   offer.fault = fault;
-  if (!faulty) offer.missing = MissingNames(*bundle);
+  if (!faulty) offer.missing = FindMissingResources(*bundle);
   const VersionVerdict verdict = ledger_.Decide(now, offer);
   RecordVerdict(verdict, origin, bundle);
   if (verdict != VersionVerdict::kTaken) {
@@ -112,7 +112,7 @@
   auto bundle = std::make_shared<Bundle>(read);
   const BundlePointer& current = store_.running();
   if (current == nullptr) return bundle;
-  KeepNamedResources(*bundle, *current);
+  RetainReferencedResources(*bundle, *current);
   const bool same_table =
       read.revision == current->revision && read.table_digest == current->table_digest;
   if (same_table) {
@@ -161,7 +161,7 @@
 }
 
 void ConfigurationStream::ConfirmFromSource() {
-  last_compared_ = DocumentVersion{running().major, 0, running().content};
+  last_compared_ = DocumentVersion{running().major, 0, running().content_hash};
   source_document_.reset();
 }
 
--- a/src/distribution/document_store.h
+++ b/src/distribution/document_store.h
@@ -62,7 +62,7 @@
     const auto cached = transfers_.find(KeyOf(key));
     if (cached != transfers_.end()) return cached->second;
     Transfer transfer =
-        base_document == nullptr ? EncodeWhole(*running_) : EncodeDelta(*base_document, *running_);
+        base_document == nullptr ? EncodeFull(*running_) : EncodeDelta(*base_document, *running_);
     transfers_.emplace(KeyOf(key), transfer);
     return transfer;
   }
@@ -70,7 +70,7 @@
  private:
   using Key = std::tuple<std::uint64_t, std::uint32_t, std::uint64_t>;
   static Key KeyOf(const DocumentVersion& version) {
-    return {version.major, version.minor, version.content};
+    return {version.major, version.minor, version.content_hash};
   }
 
   std::size_t history_size_;
--- a/src/distribution/machine_stream.cc
+++ b/src/distribution/machine_stream.cc
@@ -11,8 +11,8 @@
 ReceiveResult MachineStream::Receive(Timestamp /*now*/, const Transfer& transfer,
                                      const std::string& origin) {
   if (!Wants(transfer.version)) return ReceiveResult::kNotTaken;
-  const MachineList* base = transfer.whole() ? nullptr : store_.Find(transfer.base);
-  if (!transfer.whole() && base == nullptr) return ReceiveResult::kUnknownBase;
+  const MachineList* base = transfer.is_full() ? nullptr : store_.Find(transfer.base);
+  if (!transfer.is_full() && base == nullptr) return ReceiveResult::kUnknownBase;
   const auto decoded = Resolve([&] { return decoder_.Machines(transfer, base); });
   if (!decoded) {
     outbox_.ReportOnce(decoded.error().kind, origin, decoded.error().cause);
--- a/src/distribution/pusher.cc
+++ b/src/distribution/pusher.cc
@@ -161,7 +161,7 @@
 
 bool Pusher::HasSentSince(const NodeId& id, Timestamp time) const {
   const auto found = membership_.members().find(id);
-  return found != membership_.members().end() && found->second.last_heard >= time;
+  return found != membership_.members().end() && found->second.last_contact >= time;
 }
 
 Timestamp Pusher::NextDeadline() const {
@@ -186,7 +186,7 @@
   const auto found = membership_.members().find(id);
   if (found == membership_.members().end()) return stream_.previous();
   const DocumentVersion known = VersionOf(found->second);
-  const bool fresh = now - found->second.last_heard <= kMaxVersionAge;
+  const bool fresh = now - found->second.last_contact <= kMaxVersionAge;
   return fresh && stream_.Holds(known) ? known : stream_.previous();
 }
 
--- a/src/distribution/source_etag.cc
+++ b/src/distribution/source_etag.cc
@@ -9,7 +9,7 @@
 
 // Compares without the epoch, because the fleet counts epochs and the source does not know them.
 bool SameDocument(const DocumentVersion& left, const DocumentVersion& right) {
-  return !left.none() && left.major == right.major && left.content == right.content;
+  return !left.none() && left.major == right.major && left.content_hash == right.content_hash;
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
   } else if (SameDocument(own_.version, version)) {
     etag = own_.etag;
   }
-  return MayHandOnEtag(etag) ? etag : std::string();
+  return IsForwardableEtag(etag) ? etag : std::string();
 }
 
 void SourceEtag::SetOwn(Entry own, const DocumentVersion& known) {
--- a/src/distribution/version_ledger.cc
+++ b/src/distribution/version_ledger.cc
@@ -25,16 +25,16 @@
     case VersionVerdict::kTaken:
       return "Version " + offered + from + " replaces version " + running + ".";
     case VersionVerdict::kAlreadyRunning:
-      return "Version " + offered + from + " is already running.";
+      return "Version " + offered + from + " is the one that runs.";
     case VersionVerdict::kHeldIncomplete:
-      return "Version " + offered + from + " is held: its table names " +
-             Join(entry.offer.missing) + ", which is missing; version " + running + " stays.";
+      return "Version " + offered + from + " waits: its table names " + Join(entry.offer.missing) +
+             ", which is not there; version " + running + " stays.";
     case VersionVerdict::kHeldJoining:
       return "Version " + offered + from +
-             " is held until peers have reported the lowest version that this node may run.";
+             " waits until peers have said which version this node may not fall below.";
     case VersionVerdict::kRefusedOlder:
       return "Version " + offered + from + " is refused: version " + running +
-             " is running and takes precedence.";
+             " runs and comes after it.";
     case VersionVerdict::kRefusedFloor:
       return "Version " + offered + from +
              " is refused: peers run, or remember this node to have "
--- a/src/distribution/version_order.h
+++ b/src/distribution/version_order.h
@@ -10,7 +10,7 @@
 // choose the same document.
 inline bool Supersedes(const DocumentVersion& left, const DocumentVersion& right) {
   if (IsNewer(left, right)) return true;
-  return IsConflict(left, right) && left.content > right.content;
+  return IsConflict(left, right) && left.content_hash > right.content_hash;
 }
 
 }  // namespace copperlead
--- a/src/membership/member_list.cc
+++ b/src/membership/member_list.cc
@@ -82,7 +82,7 @@
   const auto result = Apply(now, summary.record);
   Member& member = members_.at(summary.record.id);
   if (summary.record.incarnation < member.record.incarnation) return result;
-  const bool first_contact = member.last_heard == Timestamp{};
+  const bool first_contact = member.last_contact == Timestamp{};
   const bool moved =
       member.record.zone != summary.record.zone || member.record.address != summary.record.address;
   if (first_contact && moved) {
@@ -94,7 +94,7 @@
   const bool record_changed = result != ApplyResult::kUnchanged;
   if (record_changed || IsNewer(summary.machines, member.machines))
     member.machines = summary.machines;
-  member.last_heard = now;
+  member.last_contact = now;
   return result;
 }
 
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -153,7 +153,7 @@
 
 std::size_t Membership::JoinReplyCount() const { return implementation_->joiner().reply_count(); }
 
-const DocumentVersion& Membership::HighestHeard() const {
+const DocumentVersion& Membership::HighestVersionReceived() const {
   return implementation_->joiner().highest_version_received();
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -34,7 +34,7 @@
 struct Member {
   MemberRecord record;
   DocumentVersion machines;  // Last value received from the member itself.
-  Timestamp last_heard{};    // Time of the last direct message; the epoch if there was none.
+  Timestamp last_contact{};  // Time of the last direct message; the epoch if there was none.
   Timestamp state_since{};
   // True for a dead member learned from another node's list. It is not passed on in lists, so that
   // the fleet eventually forgets it.
@@ -98,7 +98,7 @@
   // Number of nodes that have replied since the last Join(), and the highest configuration received
   // in a reply: one that a peer remembers this node to have run, or one that a peer runs itself.
   std::size_t JoinReplyCount() const;
-  const DocumentVersion& HighestHeard() const;
+  const DocumentVersion& HighestVersionReceived() const;
 
   // True once a peer has answered a probe or a join request since start or since the last Join().
   bool FleetAnswered() const;
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -54,7 +54,7 @@
 // True when an ETag may be forwarded. It must not be too long and must contain no byte that could
 // end or split the header line in which the receiver sends it. Senders leave other ETags out and
 // receivers reject them.
-inline bool MayHandOnEtag(std::string_view etag) {
+inline bool IsForwardableEtag(std::string_view etag) {
   const auto is_plain = [](char byte) { return byte < '\0' || (byte > ' ' && byte != '\x7f'); };
   return etag.size() <= kMaxSourceTagBytes && std::all_of(etag.begin(), etag.end(), is_plain);
 }
@@ -65,7 +65,7 @@
   // Node at the root of the push tree. Empty for an answer to a Pull, which is not forwarded.
   NodeId root;
   // The source's ETag for the document whose content the version has, or empty if it is not known.
-  // MayHandOnEtag holds.
+  // IsForwardableEtag holds.
   std::string source_tag;
 };
 
--- a/src/mesh/attempt_age.h
+++ b/src/mesh/attempt_age.h
@@ -17,7 +17,7 @@
 #include <unordered_map>
 
 #include "base/time.h"
-#include "mesh/patience_band.h"
+#include "mesh/remaining_wait_histogram.h"
 
 namespace copperlead::mesh
 {
--- a/src/mesh/instance_chooser.h
+++ b/src/mesh/instance_chooser.h
@@ -102,8 +102,8 @@
     void avoidInstance (Timestamp now, const std::string& id, Milliseconds howLong);
 
     /** Ranks an instance behind the others for the given time, or until it reports its load again.
-        This is for an attempt that takes much longer than expected. Unlike shun(), it doesn't
-        exclude the instance, since under load every instance may be slow.
+        This is for an attempt that takes much longer than expected. Unlike avoidInstance(), it
+        doesn't exclude the instance, since under load every instance may be slow.
     */
     void suspect (Timestamp now, const std::string& id, Milliseconds howLong);
 
--- a/src/mesh/quota_bounds.h
+++ b/src/mesh/quota_bounds.h
@@ -8,7 +8,7 @@
 {
 
 /** The fleet-wide limit on a tenant's requests. Within any window, at most
-    (rate x window + burst) x (1 + over) + slack of them may run over all nodes.
+    (rate x window + burst) x (1 + excessShare) + slack of them may run over all nodes.
 */
 struct QuotaBounds
 {
--- a/src/mesh/reader_beat_codec.cc
+++ b/src/mesh/reader_heartbeat_codec.cc
@@ -1,4 +1,4 @@
-#include "mesh/reader_beat_codec.h"
+#include "mesh/reader_heartbeat_codec.h"
 
 #include "mesh/datagram_archive.h"
 
--- a/src/mesh/reader_role.cc
+++ b/src/mesh/reader_role.cc
@@ -136,7 +136,7 @@
                                     {
                                         const auto& [heartbeat, receivedAt] = item.second;
                                         return now - receivedAt <= settings.heartbeatInterval * 2 &&
-                                               heartbeat.at <= ownPosition &&
+                                               heartbeat.position <= ownPosition &&
                                                heartbeat.version <= ownVersion;
                                     });
 
@@ -158,7 +158,8 @@
                             const auto& [heartbeat, receivedAt] = item.second;
                             return now - receivedAt <= settings.readerTimeout &&
                                    (! ownHealthy || heartbeat.rank.betterThan (rank)) &&
-                                   heartbeat.at <= ownPosition && heartbeat.version <= ownVersion;
+                                   heartbeat.position <= ownPosition &&
+                                   heartbeat.version <= ownVersion;
                         });
 }
 
--- a/src/mesh/patience_band.cc
+++ b/src/mesh/remaining_wait_histogram.cc
@@ -1,4 +1,4 @@
-#include "mesh/patience_band.h"
+#include "mesh/remaining_wait_histogram.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/mesh/source_follower.cc
+++ b/src/mesh/source_follower.cc
@@ -146,7 +146,7 @@
     return true;
 }
 
-void SourceFollower::lookAgain (Timestamp now)
+void SourceFollower::refreshListing (Timestamp now)
 {
     if (requestPending || ! paused || ! listed || failures > 0)
         return;
--- a/src/mesh/source_follower.h
+++ b/src/mesh/source_follower.h
@@ -1,6 +1,6 @@
 /** Follows a versioned key-value source: lists it once, then watches it from the revision of the
     listing. This is a state machine without I/O: the caller sends the request that poll() returns
-    and passes the answer to answered().
+    and passes the answer to handleAnswer().
 
     The epoch of the answers increases when the source is restored from a backup. The changes
     between the backup and the revision that this node has reached are then unknown, so each
@@ -105,7 +105,7 @@
 struct SourceUpdate
 {
     bool complete = false;            /**< True for a listing: entries that it lacks are removed. */
-    std::vector<SourceEntry> entries; /**< Their revisions belong to the epoch of `at`. */
+    std::vector<SourceEntry> entries; /**< Their revisions belong to the epoch of `position`. */
     SourcePosition position;
 };
 
@@ -182,7 +182,7 @@
     bool resume (Timestamp now, SourcePosition position);
 
     /** Lists the source again while this node doesn't read. The answer may be stale. */
-    void lookAgain (Timestamp now);
+    void refreshListing (Timestamp now);
 
     /** Sets the minimum interval of calls to a failing source, which other nodes call as well. */
     void setMinRetryInterval (Milliseconds interval) { minRetryInterval = interval; }
@@ -242,7 +242,7 @@
     std::uint64_t epoch = 0;
     bool stale = false; /**< True if the current listing may be stale. */
     bool historyLost = false;
-    bool refreshing = false; /**< True if the current listing was requested by lookAgain(). */
+    bool refreshing = false; /**< True if the current listing was requested by refreshListing(). */
     Milliseconds minRetryInterval{};
     std::vector<SourceEntry> pages;
     int failures = 0;
--- a/src/mesh/subscription.h
+++ b/src/mesh/subscription.h
@@ -96,7 +96,7 @@
     /** IPs of the subscribers to this node's heartbeats. Removes expired subscriptions. */
     std::vector<std::string> subscribers (Timestamp now);
 
-    /** Whether a reader of the zone sent a heartbeat within the last `readerMemory`. */
+    /** Whether a reader of the zone sent a heartbeat within the last `readerTimeout`. */
     bool knowsReader (Timestamp now) const { return heardAt && now - *heardAt <= readerTimeout; }
 
 private:
--- a/src/node/node.cc
+++ b/src/node/node.cc
@@ -217,7 +217,7 @@
   values.control_messages_received = counters.messages_received;
   values.control_send_failures = counters.send_failures;
   values.bad_frames = counters.bad_frames;
-  values.unsealed_frames = counters.unsealed_frames;
+  values.unseal_failures = counters.unseal_failures;
 }
 
 void CollectFromDataPath(const RequestRouter& router, const ProxyServer& proxy,
--- a/src/proxy/caller_request.cc
+++ b/src/proxy/caller_request.cc
@@ -141,7 +141,7 @@
   request.declares_length =
       MethodHasBody(head.method) || !ValuesOf(head.fields, "Content-Length").empty();
   request.accepts_chunked = head.minor_version > 0;
-  request.keep_alive = head.minor_version > 0 && !ListHolds(head.fields, "Connection", "close");
+  request.keep_alive = head.minor_version > 0 && !ListContains(head.fields, "Connection", "close");
   if (!FindRequestFraming(head, request.framing, fault.cause)) {
     return Refuse(fault, std::move(fault.cause));
   }
--- a/src/proxy/forwarded_headers.cc
+++ b/src/proxy/forwarded_headers.cc
@@ -185,7 +185,7 @@
 AnswerHead ReadAnswerHead(const ResponseHead& head) {
   AnswerHead answer;
   answer.status = head.status;
-  answer.closes_connection = ListHolds(head.fields, "Connection", "close");
+  answer.closes_connection = ListContains(head.fields, "Connection", "close");
   for (const auto& field : head.fields) {
     if (EqualsIgnoringCase(field.name, kOutcomeHeader)) {
       answer.says_not_run = EqualsIgnoringCase(field.value, Name(RequestOutcome::kNotRun));
--- a/src/proxy/http_message.cc
+++ b/src/proxy/http_message.cc
@@ -134,7 +134,7 @@
   return elements;
 }
 
-bool ListHolds(const HeaderFields& fields, std::string_view name, std::string_view token) {
+bool ListContains(const HeaderFields& fields, std::string_view name, std::string_view token) {
   const auto elements = ListOf(fields, name);
   return std::any_of(elements.begin(), elements.end(),
                      [&](std::string_view element) { return EqualsIgnoringCase(element, token); });
--- a/src/proxy/http_message.h
+++ b/src/proxy/http_message.h
@@ -51,7 +51,7 @@
 std::vector<std::string_view> ListOf(const HeaderFields& fields, std::string_view name);
 
 // @return true when the list `name` contains `token`.
-bool ListHolds(const HeaderFields& fields, std::string_view name, std::string_view token);
+bool ListContains(const HeaderFields& fields, std::string_view name, std::string_view token);
 
 // Parses decimal digits only, at most 18 of them. @return false for any other text.
 bool ParseWholeNumber(std::string_view text, std::uint64_t& number);
--- a/src/proxy/request_exchange.cc
+++ b/src/proxy/request_exchange.cc
@@ -162,7 +162,7 @@
 bool RequestExchange::ConnectionIsReusable() const {
   return keep_connection_ && attempt_.request_sent_completely && attempt_.head.minor_version > 0 &&
          attempt_.framing.kind != BodyKind::kUntilClose &&
-         !ListHolds(attempt_.head.fields, "Connection", "close");
+         !ListContains(attempt_.head.fields, "Connection", "close");
 }
 
 ConnectionDisposition RequestExchange::Relay() {
--- a/src/routing/request_session.cc
+++ b/src/routing/request_session.cc
@@ -35,7 +35,7 @@
 std::string DescribeCause(AttemptResult result, const std::string& back_end) {
   switch (result) {
     case AttemptResult::kConnectFailed:
-      return back_end + " did not accept a connection";
+      return back_end + " took no connection";
     case AttemptResult::kNothingWritten:
       return back_end + " closed the connection before the request was written";
     case AttemptResult::kLostAfterWrite:
@@ -43,12 +43,12 @@
     case AttemptResult::kTimeoutAfterWrite:
       return back_end + " made no progress within the route's timeout";
     case AttemptResult::kDeadlineAfterWrite:
-      return "the caller's deadline passed before " + back_end + " answered";
+      return "the caller's deadline passed while " + back_end + " had the request";
     case AttemptResult::kCallerGone:
-      return "the caller disconnected";
+      return "the caller left";
     case AttemptResult::kRefused:
     case AttemptResult::kAnsweredNotRun:
-      return back_end + " reported that it did not run the request";
+      return back_end + " said that it did not run the request";
     case AttemptResult::kAnswered:
       break;
   }
@@ -68,7 +68,7 @@
   deadline_ = Deadline(now, facts_.time_left);
   if (auto refusal = FindRoute(now)) return *std::move(refusal);
   if (const auto kind = core_->Acquire(now, *route_)) {
-    return Refuse(*kind, "this node's share of the limit of " + route_->row->route + " is used up");
+    return Refuse(*kind, "this node's part of the limit of " + route_->row->route + " is used up");
   }
   holds_limits_ = true;
   repeatable_ = IsRepeatable(route_->row->repeatable, facts_.method);
@@ -84,17 +84,16 @@
 
 std::optional<AnswerError> RoutedSession::FindRoute(Timestamp now) {
   Admission admission = core_->Admit(now);
-  if (admission.draining) return Refuse(ErrorKind::kDraining, "this node is draining");
-  if (!admission.view)
-    return Refuse(ErrorKind::kNotReady, "this node has not received a table yet");
+  if (admission.draining) return Refuse(ErrorKind::kDraining, "this node is stopping");
+  if (!admission.view) return Refuse(ErrorKind::kNotReady, "this node has no table yet");
   view_ = std::move(admission.view);
   if (!NormalizePath(facts_.path, path_)) {
-    return Refuse(ErrorKind::kBadRequest, "the path is malformed or leads above its root");
+    return Refuse(ErrorKind::kBadRequest, "the path is malformed or leaves its root");
   }
   route_ = view_->Match(path_);
   if (route_ == nullptr) return Refuse(ErrorKind::kNoRoute, "no route matches the path");
   if (route_->service == nullptr) {
-    return Refuse(ErrorKind::kNoEndpoint, "service " + route_->row->service + " is unknown");
+    return Refuse(ErrorKind::kNoEndpoint, "service " + route_->row->service + " is not known");
   }
   if (deadline_.HasPassed(now)) {
     return Refuse(ErrorKind::kDeadlineBeforeSend, "the caller's deadline has passed");
@@ -103,8 +102,7 @@
 }
 
 RequestAction RoutedSession::OnFailure(Timestamp now, AttemptFailure failure) {
-  if (!chosen_)
-    return Refuse(ErrorKind::kInternal, "failure reported without an attempt in progress");
+  if (!chosen_) return Refuse(ErrorKind::kInternal, "an attempt failed that was not made");
   const AttemptResult result = ToAttemptResult(failure);
   // The back end had closed a kept connection and can't have seen the request, so sending it there
   // again doesn't count as a retry. This is done once: a back end that resets each connection would
@@ -124,8 +122,7 @@
 }
 
 RequestAction RoutedSession::OnAnswer(Timestamp now, const AnswerHead& head) {
-  if (!chosen_)
-    return Refuse(ErrorKind::kInternal, "answer received without an attempt in progress");
+  if (!chosen_) return Refuse(ErrorKind::kInternal, "an answer came to an attempt not made");
   const AttemptResult result = ToAttemptResult(head);
   const RetryDecision decision = core_->policy().Decide(result, FactsForRetry());
   core_->EndAttempt(now, *chosen_, result, &head);
--- a/src/sidecar/hop/active_request.cc
+++ b/src/sidecar/hop/active_request.cc
@@ -60,15 +60,15 @@
     }
 
     if (priorAttemptsTime > Milliseconds (0))
-        hop->clientRetries.returned (route.name);
+        hop->clientRetries.recordRetry (route.name);
 
     deadline = std::min ({ deadline, clientGivesUpAt, hop->endsAt });
     fields = forwardedFields (received, names);
     fields.insert (fields.begin(), { "Host", std::string (onlyValue (received, "Host")) });
     service = route.services[hop->split.next (route)].service;
     hop->calls.observe (route.name, hop->instanceIsIdle());
-    hop->budgetOf (service).countRequest (exchange->arrivedAt,
-                                          hop->lastHop->repeatShare() * hop->calls.of (route.name));
+    hop->budgetOf (service).countRequest (
+        exchange->arrivedAt, hop->lastHop->repeatShare() * hop->calls.shareOfCalls (route.name));
 
     const auto weak = weak_from_this();
     exchange->onDisconnect = [weak]
@@ -132,7 +132,7 @@
     if (done)
         return;
 
-    if (exchange->clientLeft())
+    if (exchange->clientDisconnected())
         return onClientLeft();
 
     if (result.step == mesh::PollStep::take)
@@ -142,7 +142,7 @@
     mesh::Choice choice;
 
     // If no node answered, the choice relies on the latest known loads.
-    if (result.step == mesh::PollStep::unheard &&
+    if (result.step == mesh::PollStep::noUsableReply &&
         hop->chooser.choose (now(), *hop->directory, choiceRequest(), choice))
         return launch (choice);
 
@@ -208,7 +208,7 @@
     call.target = exchange->head.target;
     call.fields = fields;
     call.body = exchange->body;
-    call.abandoned = [client = exchange] { return client->clientLeft(); };
+    call.abandoned = [client = exchange] { return client->clientDisconnected(); };
     return call;
 }
 
@@ -262,7 +262,7 @@
     hop->chooser.ended (id);
 
     if (! report.instanceId.empty() || report.outcome != HopOutcome::unknown)
-        hop->chooser.reported (now(), id, { report.load, report.runMs, report.bodyTransferMs });
+        hop->chooser.recordReport (now(), id, { report.load, report.runMs, report.bodyTransferMs });
 
     if (report.configurationVersion != 0 && hop->onPeerVersion)
         hop->onPeerVersion (report.configurationVersion, attempt.choice.instance.address.ip);
@@ -286,7 +286,7 @@
     }
 
     if (answer.status < 300)
-        hop->chooser.answered (id, route, report.tookMs, answer.body.size());
+        hop->chooser.recordAnswer (id, route, report.tookMs, answer.body.size());
 
     if (answer.status < 500)
         return AttemptOutcome::answered;
--- a/src/sidecar/hop/active_request_end.cc
+++ b/src/sidecar/hop/active_request_end.cc
@@ -135,13 +135,13 @@
     const auto spread = std::uniform_real_distribution<double> (0, 1) (hop->random);
     const auto hold = hop->guard->holdOf (identityOf (*exchange, tenant));
     const auto retryDelay =
-        hold ? hold->left : mesh::retryAfter (why, clientGivesUpAt - now(), spread);
+        hold ? hold->remaining : mesh::retryAfter (why, clientGivesUpAt - now(), spread);
 
     if (why == HopCause::crashSuspect)
         hop->guard->countRefusal();
 
     if (priorAttemptsTime == Milliseconds (0))
-        hop->clientRetries.refused (route.name);
+        hop->clientRetries.recordRefusal (route.name);
 
     hop->answerLocally (exchange, 503, cause, retryDelay);
     ++hop->counts.refused;
--- a/src/sidecar/hop/active_request_log.cc
+++ b/src/sidecar/hop/active_request_log.cc
@@ -29,7 +29,7 @@
         { "arrivals", std::int64_t (arrivals) },
         { "took_ms", toMilliseconds (at - exchange->arrivedAt) },
         { "left_ms", toMilliseconds (deadline - at) },
-        { "budget", hop->budgetOf (service).left (at, hop->nodeCount()) },
+        { "budget", hop->budgetOf (service).remaining (at, hop->nodeCount()) },
         { "instance", attempts.empty() ? std::string_view() : attempts.back().choice.instance.id }
     };
 
--- a/src/sidecar/hop/active_request_retry.cc
+++ b/src/sidecar/hop/active_request_retry.cc
@@ -78,7 +78,7 @@
 
     const bool again = step == NextStep::tryAgain ||
                        (step == NextStep::spendRetry &&
-                        hop->budgetOf (service).take (now(), hop->nodeCount(), retryClaim()));
+                        hop->budgetOf (service).trySpend (now(), hop->nodeCount(), retryClaim()));
 
     if (! again)
         return finish (step == NextStep::spendRetry ? withoutRetry (facts(), outcome) : step,
@@ -120,7 +120,7 @@
     if (hedged || search != nullptr || ! mesh::mayHedge (facts(), activeCount()))
         return;
 
-    if (! hop->budgetOf (service).take (now(), hop->nodeCount(), mesh::hedgeClaim))
+    if (! hop->budgetOf (service).trySpend (now(), hop->nodeCount(), mesh::hedgeClaim))
         return;
 
     hedged = true;
--- a/src/sidecar/hop/first_hop.cc
+++ b/src/sidecar/hop/first_hop.cc
@@ -98,7 +98,7 @@
     if (duration > Milliseconds (0))
         return chooser.suspect (at, reply.instanceId, duration);
 
-    chooser.reported (at, reply.instanceId, { reply.load, reply.runMs, reply.bodyTransferMs });
+    chooser.recordReport (at, reply.instanceId, { reply.load, reply.runMs, reply.bodyTransferMs });
 }
 
 void FirstHop::setDirectory (mesh::DirectoryPointer newDirectory)
@@ -137,7 +137,7 @@
     auto minimum = settings.budget.slack;
 
     for (auto& [service, budget] : budgets)
-        minimum = std::min (minimum, budget.left (now, nodeCount()));
+        minimum = std::min (minimum, budget.remaining (now, nodeCount()));
 
     return minimum;
 }
@@ -220,9 +220,9 @@
                   { "digest", toText (hold.request) },
                   { "crashes", std::int64_t (hold.crashes) },
                   { "age_ms", static_cast<std::int64_t> (hold.age.count()) },
-                  { "retry_after_ms", static_cast<std::int64_t> (hold.left.count()) } });
+                  { "retry_after_ms", static_cast<std::int64_t> (hold.remaining.count()) } });
     answerLocally (exchange, 503, nameOf (mesh::HopCause::crashSuspect, mesh::hopCauseNames),
-                   hold.left);
+                   hold.remaining);
 }
 
 void FirstHop::handle (const ExchangePointer& exchange)
--- a/src/sidecar/hop/first_hop_tenants.cc
+++ b/src/sidecar/hop/first_hop_tenants.cc
@@ -25,7 +25,7 @@
         if (queries != nullptr)
             queries->sendOther (ip, bytes);
     };
-    hooks.alone = [this] (const mesh::QuotaFallback& alone)
+    hooks.onLocalFallback = [this] (const mesh::QuotaFallback& alone)
     {
         log->write (SteadyClock().Now(), EventKind::quotaAlone,
                     { { "tenant", alone.tenant },
@@ -34,7 +34,7 @@
                       { "nodes", static_cast<std::int64_t> (alone.nodes) },
                       { "per_second", alone.perSecond } });
     };
-    hooks.used = [this] (const std::string& tenant, const mesh::QuotaUsage& use)
+    hooks.onUsageReport = [this] (const std::string& tenant, const mesh::QuotaUsage& use)
     {
         log->write (SteadyClock().Now(), EventKind::quotaUsed,
                     { { "tenant", tenant },
@@ -45,7 +45,8 @@
                       { "refused_alone", std::int64_t (use.refusedAlone) },
                       { "returned", std::int64_t (use.returned) } });
     };
-    hooks.kept = [this] (const std::string& tenant, const mesh::QuotaKeeperActivity& keeping)
+    hooks.onKeeperReport =
+        [this] (const std::string& tenant, const mesh::QuotaKeeperActivity& keeping)
     {
         log->write (SteadyClock().Now(), EventKind::quotaKept,
                     { { "tenant", tenant },
@@ -95,25 +96,25 @@
     if (tenant == nullptr)
         return begin ({});
 
-    quotas.take (SteadyClock().Now(), *tenant,
-                 [weak = weak_from_this(), exchange, held = routes, &route, tenant,
-                  begin] (const mesh::TenantQuotas::Verdict& verdict)
-                 {
-                     const auto self = weak.lock();
-
-                     if (self == nullptr)
-                         return;
-
-                     if (exchange->clientLeft())
-                         ++self->counts.clientsLeft;
-                     else if (verdict.passed)
-                         return begin (verdict.lapsesAt);
-                     else
-                         return self->refuseOverQuota (exchange, route, *tenant, verdict.keeper);
-
-                     if (verdict.passed)
-                         self->returnQuotaToken (*tenant, verdict.lapsesAt);
-                 });
+    quotas.acquire (SteadyClock().Now(), *tenant,
+                    [weak = weak_from_this(), exchange, held = routes, &route, tenant,
+                     begin] (const mesh::TenantQuotas::Verdict& verdict)
+                    {
+                        const auto self = weak.lock();
+
+                        if (self == nullptr)
+                            return;
+
+                        if (exchange->clientDisconnected())
+                            ++self->counts.clientsLeft;
+                        else if (verdict.passed)
+                            return begin (verdict.lapsesAt);
+                        else
+                            return self->refuseOverQuota (exchange, route, *tenant, verdict.keeper);
+
+                        if (verdict.passed)
+                            self->returnQuotaToken (*tenant, verdict.lapsesAt);
+                    });
     armQuotaTimer();
 }
 
--- a/src/sidecar/hop/hop_caller.cc
+++ b/src/sidecar/hop/hop_caller.cc
@@ -14,7 +14,7 @@
 {
     ClientSettings settings;
     settings.connectTimeout = Milliseconds (300);
-    settings.unacknowledged = Milliseconds (600);
+    settings.unacknowledgedTimeout = Milliseconds (600);
     settings.idleTime = Milliseconds (10'000);
     return settings;
 }
--- a/src/sidecar/http/client_connection.cc
+++ b/src/sidecar/http/client_connection.cc
@@ -41,7 +41,7 @@
     if (! socket.open())
         return false;
 
-    setDeadPeerDetection (socket, client->settings.unacknowledged);
+    setDeadPeerDetection (socket, client->settings.unacknowledgedTimeout);
     interest = EPOLLOUT;
     connectDeadline = now() + client->settings.connectTimeout;
     watch = client->reactor->Watch (socket, interest,
@@ -97,7 +97,7 @@
 {
     if (const int error = pendingError (socket); error != 0)
     {
-        result.refused = error == ECONNREFUSED;
+        result.connectionRefused = error == ECONNREFUSED;
         return finish (CallEnd::notConnected, std::strerror (error));
     }
 
@@ -159,7 +159,7 @@
         return;
 
     interest = wanted;
-    client->reactor->Change (watch, socket, interest);
+    client->reactor->ModifyWatch (watch, socket, interest);
 }
 
 void ClientConnection::armTimer (Timestamp when)
--- a/src/sidecar/http/client_connection_answers.cc
+++ b/src/sidecar/http/client_connection_answers.cc
@@ -127,7 +127,7 @@
     }
 
     if (framing.kind == BodyKind::kUntilClose || answersOtherRequest ||
-        ListHolds (result.head.fields, "Connection", "close") || result.head.minor_version == 0)
+        ListContains (result.head.fields, "Connection", "close") || result.head.minor_version == 0)
         reusable = false;
 
     updateIdleDeadline();
--- a/src/sidecar/http/http_server.cc
+++ b/src/sidecar/http/http_server.cc
@@ -30,7 +30,7 @@
         open->continueBody (*this);
 }
 
-bool Exchange::clientLeft() const
+bool Exchange::clientDisconnected() const
 {
     const auto open = connection.lock();
     return open == nullptr || open->peerHasClosed();
--- a/src/sidecar/http/server_connection.cc
+++ b/src/sidecar/http/server_connection.cc
@@ -185,10 +185,10 @@
 
     input.erase (0, end);
     exchange->closeAfterResponse = exchange->head.minor_version == 0 ||
-                                   ListHolds (exchange->head.fields, "Connection", "close");
+                                   ListContains (exchange->head.fields, "Connection", "close");
     decoder.emplace (framing);
 
-    continuePending = ListHolds (exchange->head.fields, "Expect", "100-continue") &&
+    continuePending = ListContains (exchange->head.fields, "Expect", "100-continue") &&
                       input.empty() && ! decoder->complete();
     state = State::body;
 
@@ -273,7 +273,7 @@
         return;
 
     interest = wanted;
-    server->reactor->Change (watch, socket, interest);
+    server->reactor->ModifyWatch (watch, socket, interest);
 }
 
 Timestamp ServerConnection::deadline() const
--- a/src/sidecar/instance/body_admission.cc
+++ b/src/sidecar/instance/body_admission.cc
@@ -48,8 +48,8 @@
                     overdueBodies);
 }
 
-BodyAdmission::Id BodyAdmission::ask (const mesh::HopRequest& facts, std::size_t bytes,
-                                      Decision decision)
+BodyAdmission::Id BodyAdmission::requestAdmission (const mesh::HopRequest& facts, std::size_t bytes,
+                                                   Decision decision)
 {
     const auto at = now();
     const auto id = ++lastId;
@@ -84,12 +84,12 @@
 {
     auto& body = pending.at (id);
     body.grantedAt = now();
-    ++counts.called;
+    ++counts.granted;
     reactor->RunAt (body.deadline,
                     [weak = weak_from_this(), id]
                     {
                         if (const auto self = weak.lock())
-                            self->left (id);
+                            self->cancel (id);
                     });
     reactor->RunAt (body.grantedAt + overdueTimeout (body),
                     [weak = weak_from_this(), id]
@@ -151,7 +151,7 @@
     pump();
 }
 
-void BodyAdmission::left (Id id)
+void BodyAdmission::cancel (Id id)
 {
     if (! pending.contains (id))
         return;
--- a/src/sidecar/instance/body_admission.h
+++ b/src/sidecar/instance/body_admission.h
@@ -44,7 +44,7 @@
     BodyAdmission (std::shared_ptr<Reactor> reactorToUse, double linkMbps);
 
     /** Requests admission of a body. The decision is reported once, possibly before this function
-        returns, and never after left().
+        returns, and never after cancel().
         @param bytes  size of the body
     */
     Id requestAdmission (const mesh::HopRequest& facts, std::size_t bytes, Decision decision);
--- a/src/sidecar/instance/crash_guard.cc
+++ b/src/sidecar/instance/crash_guard.cc
@@ -130,13 +130,13 @@
     if (! send)
         return;
 
-    for (std::size_t from = 0; from < records.size(); from += mesh::SuspectNews::maxRecords)
+    for (std::size_t from = 0; from < records.size(); from += mesh::SuspectUpdate::maxRecords)
     {
-        const auto to = std::min (records.size(), from + mesh::SuspectNews::maxRecords);
-        mesh::SuspectNews update;
+        const auto to = std::min (records.size(), from + mesh::SuspectUpdate::maxRecords);
+        mesh::SuspectUpdate update;
         update.records.assign (records.begin() + static_cast<std::ptrdiff_t> (from),
                                records.begin() + static_cast<std::ptrdiff_t> (to));
-        ++counts.told;
+        ++counts.updatesSent;
         send (ip, mesh::encode (update));
     }
 }
@@ -161,7 +161,7 @@
 void CrashGuard::sendToRandomNodes()
 {
     ledger.advance (now());
-    const auto records = ledger.recordsToShare (now(), mesh::SuspectNews::maxRecords);
+    const auto records = ledger.recordsToShare (now(), mesh::SuspectUpdate::maxRecords);
 
     if (! records.empty() && ! otherNodes.empty())
     {
@@ -185,7 +185,7 @@
     if (! knownNodes.contains (ip))
         return true;
 
-    ++counts.heard;
+    ++counts.updatesReceived;
 
     std::vector<mesh::SuspectRecord> clearedRecords;
 
--- a/src/sidecar/instance/last_hop.cc
+++ b/src/sidecar/instance/last_hop.cc
@@ -26,7 +26,7 @@
 {
     ClientSettings settings;
     settings.connectTimeout = Milliseconds (250);
-    settings.unacknowledged = Milliseconds (800);
+    settings.unacknowledgedTimeout = Milliseconds (800);
     settings.idleTime = Milliseconds (8000);
     return settings;
 }
@@ -130,7 +130,7 @@
 
 HopCause LastHop::queueRefusalCause (Timestamp now) const
 {
-    return queue.startWindow().binds (now) ? HopCause::instanceCold : HopCause::queueFull;
+    return queue.startWindow().isEnforced (now) ? HopCause::instanceCold : HopCause::queueFull;
 }
 
 void LastHop::logRefusal (const PendingCall& running, HopCause cause)
@@ -239,11 +239,11 @@
     options.idField = settings.names.requestId;
     options.id = running.call.facts.requestId;
 
-    if (queue.startWindow().most() > 0)
+    if (queue.startWindow().limit() > 0)
         options.onSent = [weak = weak_from_this(), startedAt = now]
         {
             if (const auto self = weak.lock())
-                self->queue.startWindow().sent (startedAt, SteadyClock().Now());
+                self->queue.startWindow().postponeStart (startedAt, SteadyClock().Now());
         };
 
     auto message = messageFor (running, now);
@@ -346,8 +346,8 @@
 
     // A request that was aborted may still crash the instance.
     if (started)
-        crashes.brokenOff (SteadyClock().Now(), running.startedAt,
-                           mesh::digestOf (identityOf (running.call)));
+        crashes.recordAbortedRun (SteadyClock().Now(), running.startedAt,
+                                  mesh::digestOf (identityOf (running.call)));
 
     const auto http = running.http;
     queue.cancel (id);
@@ -359,7 +359,7 @@
     pump();
 }
 
-void LastHop::stopTaking()
+void LastHop::stopAccepting()
 {
     stopping = true;
     refuseAll (queue.clear(), HopCause::nodeStopping);
--- a/src/sidecar/instance/last_hop_crash.cc
+++ b/src/sidecar/instance/last_hop_crash.cc
@@ -59,8 +59,8 @@
 
 void LastHop::recordUnanswered (const PendingCall& running)
 {
-    crashes.unanswered (SteadyClock().Now(), running.startedAt,
-                        mesh::digestOf (identityOf (running.call)));
+    crashes.recordLostAnswer (SteadyClock().Now(), running.startedAt,
+                              mesh::digestOf (identityOf (running.call)));
     armCrashCheck();
 }
 
@@ -108,7 +108,7 @@
 void LastHop::recordAlive (Timestamp sentAt)
 {
     reportCrash();
-    crashes.answered (SteadyClock().Now(), sentAt);
+    crashes.recordAnswer (SteadyClock().Now(), sentAt);
 }
 
 void LastHop::recordRefusedConnection (Timestamp now)
@@ -117,7 +117,7 @@
     if (instance.leaving())
         return;
 
-    crashes.gone (now);
+    crashes.instanceGone (now);
 
     if (! std::exchange (crashReportArmed, true))
         reactor->RunAt (now + crashReportDelay,
--- a/src/sidecar/instance/last_hop_instance.cc
+++ b/src/sidecar/instance/last_hop_instance.cc
@@ -32,10 +32,10 @@
 
     if (result.end != CallEnd::answered && result.end != CallEnd::broken)
     {
-        if (result.refused)
+        if (result.connectionRefused)
             recordRefusedConnection (now);
 
-        if (instance.failed (now, result.end == CallEnd::notConnected))
+        if (instance.recordFailure (now, result.end == CallEnd::notConnected))
         {
             log->write (now, EventKind::instanceLost,
                         { { "instance", before }, { "cause", result.cause } });
@@ -46,7 +46,7 @@
         return;
     }
 
-    if (instance.answered (now))
+    if (instance.recordAnswer (now))
         log->write (now, EventKind::instanceRegained,
                     { { "instance", before }, { "after_ms", toMilliseconds (lostFor) } });
 
@@ -57,8 +57,8 @@
 
     // The first answer of another incarnation shows that the previous one is gone, not that it is
     // alive.
-    if (instance.heard (std::string (reportedId)))
-        adoptIdentity (now, mesh::IdentitySource::spoken, before);
+    if (instance.recordReportedId (std::string (reportedId)))
+        adoptIdentity (now, mesh::IdentitySource::selfReported, before);
     else
         recordAlive (now - result.took);
 }
@@ -71,17 +71,17 @@
                   { "by", nameOf (by, mesh::identitySourceNames) } });
 
     if (! instance.leaving())
-        crashes.replaced (now);
+        crashes.instanceReplaced (now);
 
     reportCrash();
-    crashes.restarted (now);
+    crashes.instanceRestarted (now);
 
     // An instance rejects requests that name its predecessor as the expected instance, so earlier
     // starts no longer count, unless both have the same id. Without a known predecessor this
     // process has just started, and earlier starts still count, since the previous process may have
     // sent requests.
     if (! before.empty() && before != instance.id())
-        queue.startWindow().forget();
+        queue.startWindow().clear();
 
     failures = {};
 
@@ -97,10 +97,10 @@
 void LastHop::applyColdState (Timestamp now, std::string_view cause)
 {
     auto& window = queue.startWindow();
-    const bool wasCold = window.binds (now);
-    window.bindUntil (coldStart.until());
+    const bool wasCold = window.isEnforced (now);
+    window.enforceUntil (coldStart.until());
 
-    if (window.binds (now) != wasCold)
+    if (window.isEnforced (now) != wasCold)
         log->write (now, wasCold ? EventKind::instanceWarm : EventKind::instanceCold,
                     { { "instance", instance.id() },
                       { "cause", cause },
@@ -115,16 +115,16 @@
 {
     const auto now = SteadyClock().Now();
     auto& window = queue.startWindow();
-    const bool isFirst = window.most() == 0;
+    const bool isFirst = window.limit() == 0;
     health->setPath (service.healthPath);
     coldStart.setProfile (service.cold);
-    window.setMost (mesh::maxColdStarts (service.cold, settings.coldBounds));
-    window.setMostInQuarter (
+    window.setLimit (mesh::maxColdStarts (service.cold, settings.coldBounds));
+    window.setQuarterLimit (
         mesh::maxColdStartsPerQuarterSecond (service.cold, settings.coldBounds));
 
     if (isFirst)
-        window.assumeStarted (createdAt,
-                              mesh::assumedColdStarts (service.cold, settings.coldBounds));
+        window.assumeStarts (createdAt,
+                             mesh::assumedColdStarts (service.cold, settings.coldBounds));
 
     applyColdState (now, "configuration");
     probeIfColdUnknown (now);
@@ -195,7 +195,7 @@
     }
 
     if (listed != nullptr && listed->instance.id == instance.id())
-        coldStart.listed (listed->changedAt, listed->instance.coldRemaining);
+        coldStart.recordEntry (listed->changedAt, listed->instance.coldRemaining);
 
     applyColdState (now, "entry");
     probeIfColdUnknown (now);
@@ -227,7 +227,7 @@
 
 void LastHop::probe()
 {
-    coldStart.asked (SteadyClock().Now());
+    coldStart.recordQuery (SteadyClock().Now());
     health->probe (
         [weak = weak_from_this()] (const HealthAnswer& answer)
         {
@@ -251,9 +251,9 @@
 
     // If this answer revealed the instance's id, the probe counts as a probe of that instance.
     if (instance.id() != before)
-        coldStart.asked (now);
+        coldStart.recordQuery (now);
 
-    coldStart.answered (now, answer.coldRemaining);
+    coldStart.recordAnswer (now, answer.coldRemaining);
     applyColdState (now, "answer");
     probeIfColdUnknown (now);
     pump();
--- a/src/sidecar/instance/peer_endpoint.cc
+++ b/src/sidecar/instance/peer_endpoint.cc
@@ -127,23 +127,23 @@
         if (const auto self = weak.lock())
             self->bodyLeft (key);
     };
-    const auto id =
-        bodies->ask (*facts, bytes,
-                     [weak = weak_from_this(), waiting = std::weak_ptr<Exchange> (exchange), facts,
-                      bytes] (bool granted)
-                     {
-                         const auto self = weak.lock();
-                         const auto held = waiting.lock();
+    const auto id = bodies->requestAdmission (
+        *facts, bytes,
+        [weak = weak_from_this(), waiting = std::weak_ptr<Exchange> (exchange), facts,
+         bytes] (bool granted)
+        {
+            const auto self = weak.lock();
+            const auto held = waiting.lock();
 
-                         if (self == nullptr || held == nullptr)
-                             return;
+            if (self == nullptr || held == nullptr)
+                return;
 
-                         if (granted)
-                             return held->continueBody();
+            if (granted)
+                return held->continueBody();
 
-                         self->admitted.erase (held.get());
-                         self->refuseBody (held, *facts, bytes, mesh::HopCause::linkFull);
-                     });
+            self->admitted.erase (held.get());
+            self->refuseBody (held, *facts, bytes, mesh::HopCause::linkFull);
+        });
 
     // The exchange has no handler any more if the body was refused immediately.
     if (exchange->onDisconnect)
@@ -153,7 +153,7 @@
 void PeerEndpoint::bodyLeft (const Exchange* exchange)
 {
     if (const auto found = admitted.extract (exchange))
-        bodies->left (found.mapped());
+        bodies->cancel (found.mapped());
 }
 
 void PeerEndpoint::takeHopCall (const ExchangePointer& exchange)
@@ -179,7 +179,7 @@
     call.abandoned = [weak = std::weak_ptr<Exchange> (exchange)]
     {
         const auto held = weak.lock();
-        return held == nullptr || held->clientLeft();
+        return held == nullptr || held->clientDisconnected();
     };
 
     auto id = std::make_shared<LastHop::CallId> (0);
--- a/src/sidecar/source/relay.cc
+++ b/src/sidecar/source/relay.cc
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "mesh/reader_beat_codec.h"
+#include "mesh/reader_heartbeat_codec.h"
 #include "sidecar/http/messages.h"
 #include "sidecar/http/sockets.h"
 
@@ -104,18 +104,18 @@
 
     if (! otherZone && heartbeat.reads)
     {
-        role.heard (now, heartbeat);
+        role.heartbeatReceived (now, heartbeat);
         // The role is updated at once, so that the nodes of a zone that start together don't all
         // send heartbeats.
         updateRole (now);
     }
 
-    if (! otherZone && heartbeat.reads && heartbeat.sound)
-        send (subscriptions.heardReader (now, ip, role.reading()));
+    if (! otherZone && heartbeat.reads && heartbeat.healthy)
+        send (subscriptions.onReaderHeartbeat (now, ip, role.reading()));
 
     // This includes readers that can't reach the source, since their data is later than this
     // node's.
-    if (heartbeat.at > ownPosition || heartbeat.version > ownVersion)
+    if (heartbeat.position > ownPosition || heartbeat.version > ownVersion)
         pullChanges (ip);
 }
 
@@ -164,21 +164,21 @@
 
     const auto now = SteadyClock().Now();
     const bool wasBehind = role.laterVersionSeenFor (now) >= catchUpTime;
-    hooks.take (now, std::move (update));
+    hooks.applyUpdate (now, std::move (update));
 
     if (wasBehind && role.reading())
-        hooks.overtaken();
+        hooks.onPeerAheadOfSource();
 
     // The changes didn't come from the source, so other nodes of the zone may lack them.
-    if (otherZone && role.reading() && ! hooks.sourceSound (now))
+    if (otherZone && role.reading() && ! hooks.isSourceReachable (now))
         sendHeartbeats (false);
 }
 
-void Relay::reached (Timestamp now, mesh::SourcePosition at, std::uint64_t version)
+void Relay::positionReached (Timestamp now, mesh::SourcePosition at, std::uint64_t version)
 {
     ownPosition = std::max (ownPosition, at);
     ownVersion = std::max (ownVersion, version);
-    role.reached (now, ownPosition, ownVersion);
+    role.positionReached (now, ownPosition, ownVersion);
 
     // What a peer has sent doesn't need to be listed again.
     if (ownPosition.isKnown() && ! std::exchange (hadPosition, true) && ! role.reading())
@@ -189,7 +189,7 @@
 {
     peers = std::move (peersToUse);
     listed = isListed;
-    role.setZonePeers (peers.inZone.size());
+    role.setZonePeers (peers.sameZone.size());
 
     if (listed)
         return role.listed (now);
@@ -198,10 +198,10 @@
     subscribe (now);
 }
 
-void Relay::sawVersion (std::uint64_t version, const std::string& ip)
+void Relay::recordVersion (std::uint64_t version, const std::string& ip)
 {
     const auto now = SteadyClock().Now();
-    role.sawVersion (now, version);
+    role.recordVersion (now, version);
 
     if (role.laterVersionSeenFor (now) >= catchUpTime)
         pullChanges (ip);
@@ -209,7 +209,7 @@
 
 bool Relay::isZonePeer (const std::string& ip) const
 {
-    return std::binary_search (peers.inZone.begin(), peers.inZone.end(), ip);
+    return std::binary_search (peers.sameZone.begin(), peers.sameZone.end(), ip);
 }
 
 void Relay::announce()
@@ -220,7 +220,7 @@
     if (! std::exchange (offerStarted, true))
         repeatOffer (now + offerDuration);
 
-    if (announcementPending || ! role.reading() || ! hooks.sourceSound (now))
+    if (announcementPending || ! role.reading() || ! hooks.isSourceReachable (now))
         return;
 
     if (now >= due)
@@ -242,7 +242,7 @@
 
 Milliseconds Relay::minHeartbeatInterval() const
 {
-    return std::max (minInterval, intervalPerPeer * std::int64_t (peers.inZone.size()));
+    return std::max (minInterval, intervalPerPeer * std::int64_t (peers.sameZone.size()));
 }
 
 void Relay::sendHeartbeats (bool healthy)
@@ -254,11 +254,11 @@
     reportedHealthy = healthy;
     sendToZone (healthy, true);
 
-    if (peers.elsewhere.empty())
+    if (peers.otherZones.empty())
         return;
 
-    std::uniform_int_distribution<std::size_t> any (0, peers.elsewhere.size() - 1);
-    sendHeartbeat (peers.elsewhere[any (random)], encodeHeartbeat (healthy, true));
+    std::uniform_int_distribution<std::size_t> any (0, peers.otherZones.size() - 1);
+    sendHeartbeat (peers.otherZones[any (random)], encodeHeartbeat (healthy, true));
 }
 
 void Relay::repeatOffer (Timestamp until)
@@ -284,7 +284,7 @@
 {
     const auto bytes = encodeHeartbeat (healthy, reads);
 
-    for (const auto& ip : peers.inZone)
+    for (const auto& ip : peers.sameZone)
         sendHeartbeat (ip, bytes);
 
     if (! reads)
@@ -309,11 +309,11 @@
 
 void Relay::updateRole (Timestamp now)
 {
-    const bool reading = role.decide (now, hooks.sourceSound (now));
+    const bool reading = role.decide (now, hooks.isSourceReachable (now));
     hooks.setMinRetryInterval (role.minRetryInterval (now));
 
     if (role.takePeerListingRequest())
-        hooks.look();
+        hooks.refreshListing();
 
     if (reading != wasReading)
     {
@@ -336,7 +336,7 @@
     if (! role.reading())
         return;
 
-    const bool healthy = hooks.sourceSound (now);
+    const bool healthy = hooks.isSourceReachable (now);
     // A loss of the source is reported at once; repetitions only help nodes that have just started.
     const auto interval = healthy ? mesh::ReaderRoleSettings{}.heartbeatInterval
                           : reportedHealthy
--- a/src/sidecar/source/relay_subscriptions.cc
+++ b/src/sidecar/source/relay_subscriptions.cc
@@ -1,7 +1,7 @@
 /** The part of the relay that subscribes to the zone's reader and accepts the subscriptions of
     other nodes.
 */
-#include "mesh/reader_beat_codec.h"
+#include "mesh/reader_heartbeat_codec.h"
 #include "sidecar/source/relay.h"
 
 namespace copperlead::sidecar
@@ -12,7 +12,7 @@
     if (listed || resigned)
         return;
 
-    const auto subscriptionsToSend = subscriptions.due (now, peers.inZone);
+    const auto subscriptionsToSend = subscriptions.takeDueRequests (now, peers.sameZone);
 
     if (subscriptionsToSend.empty())
         return;
@@ -22,7 +22,7 @@
     log->write (now, EventKind::subscribed,
                 { { "to", subscriptionsToSend.front().to },
                   { "asked", static_cast<std::int64_t> (subscriptionsToSend.size()) },
-                  { "peers", static_cast<std::int64_t> (peers.inZone.size()) },
+                  { "peers", static_cast<std::int64_t> (peers.sameZone.size()) },
                   { "epoch", static_cast<std::int64_t> (ownPosition.epoch) },
                   { "revision", static_cast<std::int64_t> (ownPosition.revision) } });
 }
@@ -39,9 +39,9 @@
     const auto now = SteadyClock().Now();
     const auto& subscriber = isForwarded ? subscription.ip : from;
     ++counts.subscriptionsReceived;
-    send (subscriptions.take (now, subscriber, role.reading()));
+    send (subscriptions.addSubscriber (now, subscriber, role.reading()));
 
-    if (role.reading() && hooks.sourceSound (now))
+    if (role.reading() && hooks.isSourceReachable (now))
         sendHeartbeat (subscriber, encodeHeartbeat (true, true));
     else if (! subscriptions.knowsReader (now))
         // The sender considers this node listed. No reader is known yet, and this node may read
--- a/src/sidecar/source/source_reader.h
+++ b/src/sidecar/source/source_reader.h
@@ -90,9 +90,9 @@
     }
 
     /** Lists the source once more, to find nodes that have been listed since. */
-    void lookAgain()
+    void refreshListing()
     {
-        follower.lookAgain (SteadyClock().Now());
+        follower.refreshListing (SteadyClock().Now());
         sendOrSchedule();
     }
 
--- a/src/simulation/documents.cc
+++ b/src/simulation/documents.cc
@@ -168,7 +168,7 @@
 
   PublishedConfiguration published;
   published.acceptable =
-      parsed.value().faults.empty() && MissingNames(parsed.value().bundle).empty();
+      parsed.value().faults.empty() && FindMissingResources(parsed.value().bundle).empty();
   published.document = std::make_shared<const ConfigurationDocument>(std::move(parsed.value()));
   published.body_bytes = text.size();
   published.etag = "\"" + ToHex(DigestOf(text)).substr(0, kTagDigits) + "\"";
--- a/src/simulation/shared_decoder.cc
+++ b/src/simulation/shared_decoder.cc
@@ -39,7 +39,7 @@
 }
 
 SharedDecoder::VersionKey SharedDecoder::KeyOf(const DocumentVersion& version) {
-  return {version.major, version.minor, version.content};
+  return {version.major, version.minor, version.content_hash};
 }
 
 const SharedDecoder::Decoded* SharedDecoder::Find(const TransferKey& key) const {
--- a/src/snapshot/bundle.cc
+++ b/src/snapshot/bundle.cc
@@ -34,7 +34,7 @@
   bundle.version = {bundle.revision, bundle.resource_epoch, ContentHashOfBundle(bundle)};
 }
 
-std::vector<std::string> MissingNames(const Bundle& bundle) {
+std::vector<std::string> FindMissingResources(const Bundle& bundle) {
   std::set<std::string> services;
   std::set<std::string> secrets;
   for (const auto& row : bundle.table.rows) {
@@ -48,7 +48,7 @@
   return missing;
 }
 
-void KeepNamedResources(Bundle& bundle, const Bundle& running) {
+void RetainReferencedResources(Bundle& bundle, const Bundle& running) {
   for (const auto& row : bundle.table.rows) {
     RetainReferenced(row.service, bundle.services, running.services);
     if (!row.secret.empty()) RetainReferenced(row.secret, bundle.secrets, running.secrets);
--- a/src/snapshot/bundle.h
+++ b/src/snapshot/bundle.h
@@ -38,11 +38,11 @@
 
 // @return the services and secrets that the table references and the bundle lacks, each as a text
 //         such as "service permit-desk"; empty when the bundle is complete.
-std::vector<std::string> MissingNames(const Bundle& bundle);
+std::vector<std::string> FindMissingResources(const Bundle& bundle);
 
 // Copies services and secrets that the table of `bundle` references and `bundle` lacks from
 // `running`, as far as `running` has them. Resources that are removed at the source are thereby
 // kept while a table in use references them. Must be called before Seal().
-void KeepNamedResources(Bundle& bundle, const Bundle& running);
+void RetainReferencedResources(Bundle& bundle, const Bundle& running);
 
 }  // namespace copperlead
--- a/src/snapshot/json_document.cc
+++ b/src/snapshot/json_document.cc
@@ -227,7 +227,7 @@
   return value->get<std::string>();
 }
 
-Result<std::uint64_t> JsonDocument::GetNumber(const JsonPointer& pointer, ErrorKind kind,
+Result<std::uint64_t> JsonDocument::GetUint64(const JsonPointer& pointer, ErrorKind kind,
                                               std::uint64_t minimum, std::uint64_t maximum) const {
   BOOST_LEAF_AUTO(value, Get(pointer));
   const bool whole = value->is_number_unsigned();
--- a/src/snapshot/json_document.h
+++ b/src/snapshot/json_document.h
@@ -42,12 +42,12 @@
                                const std::string& cause) const;
 
   // Checked getters, which fail with kMalformedJson when the value is missing or has another type.
-  // GetNumber fails with `kind` when the value is not an integer from `minimum` to `maximum`.
+  // GetUint64 fails with `kind` when the value is not an integer from `minimum` to `maximum`.
   Result<const nlohmann::json*> Get(const JsonPointer& pointer) const;
   Result<const nlohmann::json*> GetObject(const JsonPointer& pointer) const;
   Result<const nlohmann::json*> GetArray(const JsonPointer& pointer) const;
   Result<std::string> GetString(const JsonPointer& pointer) const;
-  Result<std::uint64_t> GetNumber(const JsonPointer& pointer, ErrorKind kind, std::uint64_t minimum,
+  Result<std::uint64_t> GetUint64(const JsonPointer& pointer, ErrorKind kind, std::uint64_t minimum,
                                   std::uint64_t maximum) const;
 
  private:
--- a/src/snapshot/source_documents.cc
+++ b/src/snapshot/source_documents.cc
@@ -24,7 +24,7 @@
 
 Result<ServiceSettings> ReadService(const JsonDocument& document, const JsonPointer& pointer) {
   const auto capacity = [&](const char* key) {
-    return document.GetNumber(pointer / key, ErrorKind::kBadValue, 1, kMaxServiceCapacity);
+    return document.GetUint64(pointer / key, ErrorKind::kBadValue, 1, kMaxServiceCapacity);
   };
   ServiceSettings settings;
   BOOST_LEAF_AUTO(slots, capacity("slots_per_instance"));
@@ -146,11 +146,11 @@
 }  // namespace
 
 Result<ConfigurationDocument> ParseConfiguration(std::string_view body) {
-  BOOST_LEAF_AUTO(document, JsonDocument::Parse(body, kMaxSourceBody));
+  BOOST_LEAF_AUTO(document, JsonDocument::Parse(body, kMaxSourceBodyBytes));
   BOOST_LEAF_CHECK(document.GetObject(JsonPointer()));
   ConfigurationDocument result;
   Bundle& bundle = result.bundle;
-  BOOST_LEAF_ASSIGN(bundle.revision, document.GetNumber(JsonPointer("/revision"),
+  BOOST_LEAF_ASSIGN(bundle.revision, document.GetUint64(JsonPointer("/revision"),
                                                         ErrorKind::kBadValue, 1, kMaxRevision));
   BOOST_LEAF_AUTO(table, document.GetString(JsonPointer("/table")));
   BOOST_LEAF_ASSIGN(bundle.services, ReadServices(document));
@@ -163,10 +163,10 @@
 }
 
 Result<MachineList> ParseMachines(std::string_view body) {
-  BOOST_LEAF_AUTO(document, JsonDocument::Parse(body, kMaxSourceBody));
+  BOOST_LEAF_AUTO(document, JsonDocument::Parse(body, kMaxSourceBodyBytes));
   BOOST_LEAF_CHECK(document.GetObject(JsonPointer()));
   MachineList list;
-  BOOST_LEAF_ASSIGN(list.sequence, document.GetNumber(JsonPointer("/sequence"),
+  BOOST_LEAF_ASSIGN(list.sequence, document.GetUint64(JsonPointer("/sequence"),
                                                       ErrorKind::kBadValue, 0, kMaxRevision));
   const JsonPointer machines("/machines");
   BOOST_LEAF_AUTO(entries, document.GetArray(machines));
--- a/src/snapshot/source_documents.h
+++ b/src/snapshot/source_documents.h
@@ -14,14 +14,14 @@
 namespace copperlead {
 
 // Largest response body accepted from the source, in bytes.
-inline constexpr std::size_t kMaxSourceBody = std::size_t{32} * 1024 * 1024;
+inline constexpr std::size_t kMaxSourceBodyBytes = std::size_t{32} * 1024 * 1024;
 
 inline constexpr std::uint32_t kMaxServiceCapacity =
     1'000'000;  // Limit of slots and of connections.
 
 // The content of a response to /v1/configuration.
 struct ConfigurationDocument {
-  Bundle bundle;  // Sealed, with resource_epoch 0. Complete when MissingNames() is empty.
+  Bundle bundle;  // Sealed, with resource_epoch 0. Complete when FindMissingResources() is empty.
   CsvTable csv;   // Row and column numbers for fault reports.
   // All faults in the table's own content. References to unknown services or secrets are not
   // included: they make the bundle incomplete but not invalid.
--- a/src/snapshot/transfer.cc
+++ b/src/snapshot/transfer.cc
@@ -96,7 +96,7 @@
   if (transfer.stream != stream) {
     return Fail(ErrorKind::kBadFrame, "transfer", "it carries the other document");
   }
-  if (!transfer.whole() && (base == nullptr || !(base->version == transfer.base))) {
+  if (!transfer.is_full() && (base == nullptr || !(base->version == transfer.base))) {
     return Fail(ErrorKind::kUnknownBase, "transfer",
                 "it needs version " + ToString(transfer.base) + " and " +
                     (base == nullptr ? "none" : ToString(base->version)) + " is here");
@@ -149,7 +149,7 @@
 
 }  // namespace
 
-Transfer EncodeWhole(const Bundle& bundle) {
+Transfer EncodeFull(const Bundle& bundle) {
   DocumentWriter writer;
   WriteRows(writer, bundle.table.rows);
   WriteServices(writer, bundle.services);
@@ -157,7 +157,7 @@
   return MakeTransfer(StreamKind::kConfiguration, bundle.version, {}, writer);
 }
 
-Transfer EncodeWhole(const MachineList& list) {
+Transfer EncodeFull(const MachineList& list) {
   DocumentWriter writer;
   WriteMachines(writer, list.machines);
   return MakeTransfer(StreamKind::kMachines, list.version, {}, writer);
@@ -189,7 +189,7 @@
   BOOST_LEAF_AUTO(bytes, Unpack(transfer, StreamKind::kConfiguration, base));
   try {
     DocumentReader reader(bytes);
-    Bundle bundle = ReadBundle(reader, transfer.whole() ? nullptr : base);
+    Bundle bundle = ReadBundle(reader, transfer.is_full() ? nullptr : base);
     bundle.revision = transfer.version.major;
     bundle.resource_epoch = transfer.version.minor;
     return SealAndVerify(transfer, std::move(bundle));
@@ -202,7 +202,7 @@
   BOOST_LEAF_AUTO(bytes, Unpack(transfer, StreamKind::kMachines, base));
   try {
     DocumentReader reader(bytes);
-    MachineList list = ReadMachineList(reader, transfer.whole() ? nullptr : base);
+    MachineList list = ReadMachineList(reader, transfer.is_full() ? nullptr : base);
     list.sequence = transfer.version.major;
     return SealAndVerify(transfer, std::move(list));
   } catch (const BadDocument& error) {
--- a/src/snapshot/transfer.h
+++ b/src/snapshot/transfer.h
@@ -24,11 +24,11 @@
   DocumentVersion base;  // None (zero) when the payload is the full document.
   std::shared_ptr<const std::string> payload;
 
-  bool whole() const { return base.none(); }
+  bool is_full() const { return base.none(); }
 };
 
-Transfer EncodeWhole(const Bundle& bundle);
-Transfer EncodeWhole(const MachineList& list);
+Transfer EncodeFull(const Bundle& bundle);
+Transfer EncodeFull(const MachineList& list);
 
 // Encodes the delta between two versions: changed and removed rows, services and secrets, or
 // changed and removed machines.
--- a/src/snapshot/version.h
+++ b/src/snapshot/version.h
@@ -23,10 +23,10 @@
 struct DocumentVersion {
   std::uint64_t major = 0;
   std::uint32_t minor = 0;
-  std::uint64_t content = 0;  // First 8 bytes of the SHA-256 of the canonical content.
+  std::uint64_t content_hash = 0;  // First 8 bytes of the SHA-256 of the canonical content.
 
   bool operator==(const DocumentVersion&) const = default;
-  bool none() const { return major == 0 && minor == 0 && content == 0; }
+  bool none() const { return major == 0 && minor == 0 && content_hash == 0; }
 };
 
 // @return true when `left` comes after `right` in the order of versions, regardless of content.
@@ -37,7 +37,8 @@
 
 // @return true when both have the same position in the order of versions but different content.
 inline bool IsConflict(const DocumentVersion& left, const DocumentVersion& right) {
-  return left.major == right.major && left.minor == right.minor && left.content != right.content;
+  return left.major == right.major && left.minor == right.minor &&
+         left.content_hash != right.content_hash;
 }
 
 // @return the major version, such as "7"; with a minor version other than 0, such as "7+2"; or
--- a/src/source/source_client.cc
+++ b/src/source/source_client.cc
@@ -117,7 +117,7 @@
   request.etag = *requested_etag_;
   request.connect_timeout = settings_.connect_timeout;
   request.total_timeout = settings_.read_timeout;
-  request.max_body_bytes = kMaxSourceBody;
+  request.max_body_bytes = kMaxSourceBodyBytes;
   running_ = MakeBoundedGet(request, watchdog_);
   running_etag_ = request.etag;
   requested_etag_.reset();
--- a/src/toolbox/admin_client.cc
+++ b/src/toolbox/admin_client.cc
@@ -23,7 +23,7 @@
   }
   if (answer->status != 200) {
     const std::string first_line = answer->body.substr(0, answer->body.find('\n'));
-    return Fail(ErrorKind::kNotSo, place,
+    return Fail(ErrorKind::kUnexpectedStatus, place,
                 "status " + std::to_string(answer->status) + ": " + first_line);
   }
   return std::move(answer->body);
--- a/src/toolbox/admin_client.h
+++ b/src/toolbox/admin_client.h
@@ -9,7 +9,8 @@
 namespace copperlead {
 
 // GETs `path` from the admin port.
-// @return the body of a 200 answer; kUnreachable when there is none, kNotSo for another status
+// @return the body of a 200 answer; kUnreachable when there is none, kUnexpectedStatus for another
+// status
 //         (the cause holds the answer's first line).
 Result<std::string> FetchFromAdmin(const SocketAddress& admin, const std::string& path);
 
--- a/src/toolbox/plan_inputs.cc
+++ b/src/toolbox/plan_inputs.cc
@@ -40,7 +40,7 @@
 Result<Services> FindServices(const PlanOptions& options, const TableFile& from,
                               const TableFile& to) {
   if (!options.configuration.empty()) {
-    BOOST_LEAF_AUTO(content, ReadInputFile(options.configuration, kMaxSourceBody));
+    BOOST_LEAF_AUTO(content, ReadInputFile(options.configuration, kMaxSourceBodyBytes));
     const auto document = Resolve([&] { return ParseConfiguration(content); });
     BOOST_LEAF_CHECK(CheckParsed(options.configuration, document));
     return document.value().bundle.services;
@@ -71,7 +71,7 @@
 
 Result<std::map<std::string, SiteSlots>> ReadSlots(const std::string& path,
                                                    const Services& services) {
-  BOOST_LEAF_AUTO(content, ReadInputFile(path, kMaxSourceBody));
+  BOOST_LEAF_AUTO(content, ReadInputFile(path, kMaxSourceBodyBytes));
   const auto machines = Resolve([&] { return ParseMachines(content); });
   BOOST_LEAF_CHECK(CheckParsed(path, machines));
   return CountSlots(machines.value(), services);
@@ -101,7 +101,7 @@
   std::map<std::string, std::uint64_t> load;
   for (const auto& entry : object->items()) {
     const JsonPointer pointer = JsonPointer() / entry.key();
-    BOOST_LEAF_AUTO(in_flight, document.GetNumber(pointer, ErrorKind::kBadValue, 0, kMaxLoad));
+    BOOST_LEAF_AUTO(in_flight, document.GetUint64(pointer, ErrorKind::kBadValue, 0, kMaxLoad));
     load.emplace(entry.key(), in_flight);
   }
   return load;
--- a/src/toolbox/stepback.cc
+++ b/src/toolbox/stepback.cc
@@ -32,7 +32,7 @@
       Resolve([&] { return FetchFromAdmin(node, "/history/" + std::to_string(revision)); });
   if (table) return std::move(table.value());
   Error error = table.error();
-  if (error.kind == ErrorKind::kNotSo) {
+  if (error.kind == ErrorKind::kUnexpectedStatus) {
     error.cause += "; a node keeps the last tables that it accepted since its start: ask another";
   }
   return boost::leaf::new_error(std::move(error));
--- a/src/toolbox/table_file.cc
+++ b/src/toolbox/table_file.cc
@@ -67,7 +67,7 @@
 }
 
 Result<TableFile> ReadTableFile(const std::string& path, TableFileKind kind) {
-  BOOST_LEAF_AUTO(content, ReadInputFile(path, kMaxSourceBody));
+  BOOST_LEAF_AUTO(content, ReadInputFile(path, kMaxSourceBodyBytes));
   const bool json = kind == TableFileKind::kConfiguration ||
                     (kind == TableFileKind::kEither && LooksLikeJson(content));
   if (json) return ReadConfigurationFile(path, content);
--- a/src/transport/message_codec.cc
+++ b/src/transport/message_codec.cc
@@ -107,7 +107,7 @@
   archive.WriteByte(version.none() ? 0 : 1);
   if (version.none()) return;
   archive(version.major, version.minor);
-  archive.WriteFixed(version.content, 8);
+  archive.WriteFixed(version.content_hash, 8);
 }
 
 static void load(CompactInputArchive& archive, DocumentVersion& version) {
@@ -118,7 +118,7 @@
     return;
   }
   archive(version.major, version.minor);
-  version.content = archive.ReadFixed(8);
+  version.content_hash = archive.ReadFixed(8);
 }
 
 static void save(CompactOutputArchive& archive, const SocketAddress& address) {
@@ -254,7 +254,7 @@
   archive(push.transfer);
   push.root = ReadName(archive);
   push.source_tag = archive.ReadString(kMaxSourceTagBytes);
-  if (!MayHandOnEtag(push.source_tag)) throw cereal::Exception("invalid ETag");
+  if (!IsForwardableEtag(push.source_tag)) throw cereal::Exception("invalid ETag");
 }
 
 static void save(CompactOutputArchive& archive, const PushAck& ack) {
--- a/src/transport/transport.cc
+++ b/src/transport/transport.cc
@@ -105,7 +105,7 @@
 
 void NodeTransport::CountFailure(const Error& error) {
   const bool unsealed = error.kind == ErrorKind::kUnsealFailed;
-  ++(unsealed ? counters_.unsealed_frames : counters_.bad_frames);
+  ++(unsealed ? counters_.unseal_failures : counters_.bad_frames);
 }
 
 void NodeTransport::Stop() {
--- a/src/transport/transport.h
+++ b/src/transport/transport.h
@@ -24,7 +24,7 @@
   std::atomic<std::uint64_t> messages_received{0};
   std::atomic<std::uint64_t> bad_frames{0};  // Frames rejected with kBadFrame or kFrameTooLarge.
   // Frames rejected with kUnsealFailed because they were sealed with another key or altered.
-  std::atomic<std::uint64_t> unsealed_frames{0};
+  std::atomic<std::uint64_t> unseal_failures{0};
   std::atomic<std::uint64_t> send_failures{0};
   // Incoming connections that were closed because they were slow or idle or exceeded a limit.
   std::atomic<std::uint64_t> rejected_streams{0};
--- a/tests/distribution/fleet_refusal_test.cc
+++ b/tests/distribution/fleet_refusal_test.cc
@@ -8,7 +8,7 @@
 DocumentVersion Version(std::uint64_t revision, std::uint64_t content = 1) {
   DocumentVersion version;
   version.major = revision;
-  version.content = content;
+  version.content_hash = content;
   return version;
 }
 
--- a/tests/distribution/test_fleet.cc
+++ b/tests/distribution/test_fleet.cc
@@ -222,7 +222,8 @@
       violations.push_back(node.id + " changed its table at " + ToString(before));
     }
   }
-  if (!MissingNames(*bundle).empty()) violations.push_back(node.id + " runs an incomplete bundle");
+  if (!FindMissingResources(*bundle).empty())
+    violations.push_back(node.id + " runs an incomplete bundle");
   if (!ParseCsv(ToCsv(bundle->table)).faults.empty()) {
     violations.push_back(node.id + " runs a faulty table");
   }
--- a/tests/membership/contract_test.cc
+++ b/tests/membership/contract_test.cc
@@ -209,7 +209,7 @@
   EXPECT_EQ(node_.LiveCount(), 1002u);
   EXPECT_TRUE(node_.FleetAnswered());
   EXPECT_EQ(node_.JoinReplyCount(), 1u);
-  EXPECT_EQ(node_.HighestHeard().major, 4u);
+  EXPECT_EQ(node_.HighestVersionReceived().major, 4u);
   // The node's own verdicts about members that do not answer may be gossiped, the list may not.
   for (const auto& message : RunFor(seconds(2))) {
     const auto* ping = std::get_if<Ping>(&message.body);
--- a/tests/membership/fleet_test.cc
+++ b/tests/membership/fleet_test.cc
@@ -164,7 +164,7 @@
   fleet.RunFor(seconds(10));
   for (std::size_t index = 0; index < 60; index += 2) {
     EXPECT_TRUE(fleet.at(index).FleetAnswered()) << index;
-    EXPECT_EQ(fleet.at(index).HighestHeard().major, 9u) << index;
+    EXPECT_EQ(fleet.at(index).HighestVersionReceived().major, 9u) << index;
   }
   EXPECT_LT(fleet.RunUntil([&] { return fleet.AllAlive(60) && fleet.HashesAgree(); }, seconds(90)),
             seconds(90));
--- a/tests/mesh/fleet_start_test.cc
+++ b/tests/mesh/fleet_start_test.cc
@@ -224,7 +224,7 @@
         node.follower.setMinRetryInterval (node.role.minRetryInterval (at (now)));
 
         if (node.role.takePeerListingRequest())
-            node.follower.lookAgain (at (now));
+            node.follower.refreshListing (at (now));
 
         if (reading == before)
             return;
--- a/tests/mesh/source_follower_test.cc
+++ b/tests/mesh/source_follower_test.cc
@@ -240,9 +240,9 @@
 TEST_F (PausedAtStart, ListsAgainWithAStaleAnswerAndThenSendsNothing)
 {
     follower->poll (at (0));
-    follower->lookAgain (at (0)); // This has no effect while the first listing is pending.
+    follower->refreshListing (at (0)); // This has no effect while the first listing is pending.
     follower->handleAnswer (at (1), page ({ entry ("a", 3) }, 7));
-    follower->lookAgain (at (1500));
+    follower->refreshListing (at (1500));
     const auto look = follower->poll (at (1500));
     ASSERT_TRUE (look);
     EXPECT_EQ (look->cause, SourceCallCause::refresh);
@@ -258,7 +258,7 @@
 {
     follower->poll (at (0));
     follower->handleAnswer (at (1), page ({ entry ("a", 3) }, 7));
-    follower->lookAgain (at (1500));
+    follower->refreshListing (at (1500));
     follower->poll (at (1500));
     EXPECT_TRUE (follower->resume (at (1600), revision (5)));
     const auto watch = follower->poll (at (1600));
--- a/tests/mesh/subscription_test.cc
+++ b/tests/mesh/subscription_test.cc
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "mesh/reader_beat_codec.h"
+#include "mesh/reader_heartbeat_codec.h"
 #include "tests/mesh/fixtures.h"
 
 namespace copperlead::mesh::test
--- a/tests/mesh_integration/soak.cc
+++ b/tests/mesh_integration/soak.cc
@@ -144,14 +144,14 @@
           socket.Send("GET /look/" + id + " HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: " + id +
                       "\r\nX-Deadline-Ms: 1000\r\nX-Credential: key-gold\r\n\r\n");
       const RawMessage answer = socket.Read();
-      open = open && answer.whole;
+      open = open && answer.complete;
       if (open) seen_.AnsweredKept(id, answer);
       fleet_.evidence().Record("answers",
                                {{"time", ToUnixMilliseconds(std::chrono::steady_clock::now())},
                                 {"id", id},
                                 {"ip", machine.ip},
                                 {"status", answer.status()},
-                                {"whole", answer.whole}});
+                                {"whole", answer.complete}});
     }
     std::this_thread::sleep_for(milliseconds(20));
   }
--- a/tests/mesh_integration/two_hops_test.cc
+++ b/tests/mesh_integration/two_hops_test.cc
@@ -330,7 +330,7 @@
       "GET /look/1 HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: late\r\n"
       "X-Deadline-Ms: 2000\r\n\r\n");
   const RawMessage answer = kept.Read();
-  EXPECT_TRUE(answer.whole);
+  EXPECT_TRUE(answer.complete);
   EXPECT_TRUE(answer.status() == 503 || answer.status() == 504) << answer.head;
   EXPECT_EQ(answer.Header("connection"), "close");
   EXPECT_EQ(hub.sidecar->Wait(std::chrono::seconds(3)), 0);
@@ -352,7 +352,7 @@
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
   hub.sidecar->Signal(SIGTERM);
   const RawMessage answer = kept.Read();
-  EXPECT_TRUE(answer.whole);
+  EXPECT_TRUE(answer.complete);
   EXPECT_EQ(answer.status(), 504) << answer.head;
   EXPECT_EQ(answer.Header("connection"), "close");
   EXPECT_EQ(hub.sidecar->Wait(std::chrono::seconds(3)), 0);
--- a/tests/proxy/bad_caller_test.cc
+++ b/tests/proxy/bad_caller_test.cc
@@ -92,7 +92,7 @@
   for (const auto& row : kCases) {
     SCOPED_TRACE(row.name);
     std::atomic<int> cut = 0;
-    RawServer backend([&](RawSocket& socket, int) { cut += socket.Read().whole ? 0 : 1; });
+    RawServer backend([&](RawSocket& socket, int) { cut += socket.Read().complete ? 0 : 1; });
     StartProxy({{backend.address()}});
     const RawMessage answer =
         SendRequest("PUT / HTTP/1.1\r\nHost: test\r\nTransfer-Encoding: chunked\r\n\r\n" +
--- a/tests/proxy/drain_test.cc
+++ b/tests/proxy/drain_test.cc
@@ -61,7 +61,7 @@
   download.Send(Get("/"));
   EXPECT_TRUE(Eventually([&] { return record_->Contains("answer:200"); }));
   EXPECT_FALSE(proxy_->Drain(std::chrono::milliseconds(200)));
-  EXPECT_FALSE(download.Read().whole);
+  EXPECT_FALSE(download.Read().complete);
   EXPECT_TRUE(record_->Contains("finished:cut"));
 }
 
--- a/tests/proxy/exchange_test.cc
+++ b/tests/proxy/exchange_test.cc
@@ -201,7 +201,7 @@
     StartProxy(script);
     const RawMessage answer = SendRequest(Post("/buy", "one permit"));
     EXPECT_EQ(answer.status(), row.status);
-    EXPECT_EQ(answer.whole, row.whole);
+    EXPECT_EQ(answer.complete, row.whole);
     EXPECT_EQ(answer.Header("copperlead-outcome"), row.outcome);
     EXPECT_TRUE(Eventually([&] { return record_->Contains("released"); }));
     EXPECT_TRUE(record_->Contains(row.event));
@@ -240,7 +240,7 @@
   RawServer backend([&](RawSocket& socket, int) {
     for (;;) {
       const RawMessage request = socket.Read();
-      if (!request.whole) return;
+      if (!request.complete) return;
       const std::string answer = Echo(request);
       const std::size_t at_once = served++ == 0 ? GetParam() : answer.size();
       socket.Send(std::string_view(answer).substr(0, at_once));
@@ -349,7 +349,7 @@
     const RawMessage answer = caller.Read();
     EXPECT_EQ(seen.body, "night");
     EXPECT_EQ(answer.body, "abcde");
-    EXPECT_TRUE(answer.whole);
+    EXPECT_TRUE(answer.complete);
   }
   EXPECT_EQ(backend.connections(), 1);
   EXPECT_FALSE(record_->last_facts().body_can_be_resent);
@@ -366,7 +366,7 @@
   StartProxy({{backend.address()}});
   const RawMessage answer = SendRequest(Get("/"));
   EXPECT_EQ(answer.body, "all of it");
-  EXPECT_TRUE(answer.whole);
+  EXPECT_TRUE(answer.complete);
 }
 
 // Without chunks or a length, an orderly end would make a partial response look complete.
@@ -434,7 +434,7 @@
 TEST_F(ProxyTest, CallerThatLeavesWithinItsUploadEndsTheUpstreamCall) {
   std::promise<void> closed;
   RawServer backend([&](RawSocket& socket, int) {
-    if (!socket.Read().whole) closed.set_value();
+    if (!socket.Read().complete) closed.set_value();
   });
   StartProxy({{backend.address()}});
   RawSocket caller = Connect();
--- a/tests/proxy/proxy_fixture.h
+++ b/tests/proxy/proxy_fixture.h
@@ -57,7 +57,7 @@
   return [answer = std::move(answer)](RawSocket& socket, int) {
     for (;;) {
       const RawMessage request = socket.Read();
-      if (!request.whole || !socket.Send(answer(request))) return;
+      if (!request.complete || !socket.Send(answer(request))) return;
     }
   };
 }
--- a/tests/proxy/raw_socket.cc
+++ b/tests/proxy/raw_socket.cc
@@ -98,7 +98,7 @@
   }
   message.head = buffer_.substr(0, end + 4);
   buffer_.erase(0, end + 4);
-  message.whole = ReadBody(message, answers_head);
+  message.complete = ReadBody(message, answers_head);
   return message;
 }
 
--- a/tests/proxy/raw_socket.h
+++ b/tests/proxy/raw_socket.h
@@ -20,7 +20,7 @@
 struct RawMessage {
   std::string head;  // Empty when no complete head was received.
   std::string body;
-  bool whole = false;  // The body ended as its framing specifies.
+  bool complete = false;  // The body ended as its framing specifies.
 
   int status() const;
   // @return the values of all fields `name` (in lower case), joined by '|'; "" when there is none.
--- a/tests/sidecar/http/body_gate_test.cc
+++ b/tests/sidecar/http/body_gate_test.cc
@@ -264,7 +264,8 @@
                 facts.targetLeft = Milliseconds (targetLeft);
                 facts.timeLeft = Milliseconds (timeLeft);
                 facts.usualRunMs = 100;
-                id = bodies->ask (facts, bytes, [this] (bool may) { ++(may ? granted : refused); });
+                id = bodies->requestAdmission (facts, bytes,
+                                               [this] (bool may) { ++(may ? granted : refused); });
             });
         return id;
     }
@@ -312,7 +313,7 @@
         [&]
         {
             for (int n = 0; n < before; ++n)
-                bodies->left (ids[static_cast<std::size_t> (n)]);
+                bodies->cancel (ids[static_cast<std::size_t> (n)]);
         });
     EXPECT_GT (granted, before);
 }
--- a/tests/sidecar/http/http_test.cc
+++ b/tests/sidecar/http/http_test.cc
@@ -186,9 +186,9 @@
         reactor->RunAndWait (
             [&]
             {
-                EXPECT_FALSE (heldRequest->clientLeft());
+                EXPECT_FALSE (heldRequest->clientDisconnected());
                 disconnect (socket);
-                left = heldRequest->clientLeft();
+                left = heldRequest->clientDisconnected();
             });
         EXPECT_TRUE (left);
     }
--- a/tests/snapshot/bundle_test.cc
+++ b/tests/snapshot/bundle_test.cc
@@ -29,7 +29,7 @@
   shuffled.revision = 8;
   shuffled.resource_epoch = 1;
   Seal(shuffled);
-  EXPECT_EQ(shuffled.version.content, original.version.content);
+  EXPECT_EQ(shuffled.version.content_hash, original.version.content_hash);
   EXPECT_EQ(shuffled.table, original.table);
 }
 
@@ -56,7 +56,7 @@
     Bundle changed = original;
     test_case.change(changed);
     Seal(changed);
-    EXPECT_NE(changed.version.content, original.version.content) << test_case.name;
+    EXPECT_NE(changed.version.content_hash, original.version.content_hash) << test_case.name;
     EXPECT_EQ(changed.table_digest != original.table_digest, test_case.table_changes)
         << test_case.name;
     EXPECT_TRUE(IsConflict(changed.version, original.version)) << test_case.name;
@@ -70,7 +70,7 @@
   right.secrets = {{"a", "bc"}};
   Seal(left);
   Seal(right);
-  EXPECT_NE(left.version.content, right.version.content);
+  EXPECT_NE(left.version.content_hash, right.version.content_hash);
 }
 
 TEST(MachineListSealTest, SortsByIdAndHashesTheState) {
@@ -82,22 +82,23 @@
   MachineList leaving = original;
   leaving.machines[1].state = MachineState::kLeaving;
   Seal(leaving);
-  EXPECT_NE(leaving.version.content, original.version.content);
+  EXPECT_NE(leaving.version.content_hash, original.version.content_hash);
 }
 
 TEST(MissingResourcesTest, ListsEachServiceAndSecretOnce) {
   Bundle bundle = MakeBundle(2, 3);
-  EXPECT_THAT(MissingNames(bundle), IsEmpty());
+  EXPECT_THAT(FindMissingResources(bundle), IsEmpty());
   bundle.services.erase("service-1");
   bundle.secrets.erase("token-of-service-0");
-  EXPECT_THAT(MissingNames(bundle), ElementsAre("service service-1", "secret token-of-service-0"));
+  EXPECT_THAT(FindMissingResources(bundle),
+              ElementsAre("service service-1", "secret token-of-service-0"));
 }
 
 TEST(MissingResourcesTest, AnEmptySecretIsNotMissing) {
   Bundle bundle = MakeBundle(1, 1);
   bundle.table.rows[0].secret.clear();
   bundle.secrets.clear();
-  EXPECT_THAT(MissingNames(bundle), IsEmpty());
+  EXPECT_THAT(FindMissingResources(bundle), IsEmpty());
 }
 
 TEST(RetainReferencedResourcesTest, RetainsOnlyWhatTheTableReferences) {
@@ -107,13 +108,13 @@
   next.secrets = {{"token-of-service-0", "rotated"}};
   std::erase_if(next.table.rows, [](const RouteRow& row) { return row.service == "service-2"; });
   next.table.rows[0].service = "nowhere";
-  KeepNamedResources(next, running);
+  RetainReferencedResources(next, running);
   EXPECT_THAT(next.services,
               ElementsAre(std::pair<const std::string, ServiceSettings>("service-1", {6, 130})));
   EXPECT_EQ(next.secrets.at("token-of-service-0"), "rotated");
   EXPECT_EQ(next.secrets.at("token-of-service-1"), "secret value of service-1");
   EXPECT_FALSE(next.secrets.contains("token-of-service-2"));
-  EXPECT_THAT(MissingNames(next), ElementsAre("service nowhere"));
+  EXPECT_THAT(FindMissingResources(next), ElementsAre("service nowhere"));
 }
 
 }  // namespace
--- a/tests/snapshot/source_documents_test.cc
+++ b/tests/snapshot/source_documents_test.cc
@@ -51,7 +51,7 @@
   EXPECT_EQ(bundle.services.at("permit-desk"), (ServiceSettings{6, 130}));
   EXPECT_EQ(bundle.secrets.at("permit-token"), "secret");
   ASSERT_EQ(bundle.table.rows.size(), 1U);
-  EXPECT_THAT(MissingNames(bundle), IsEmpty());
+  EXPECT_THAT(FindMissingResources(bundle), IsEmpty());
 }
 
 TEST(ParseConfigurationTest, ReportsTableFaultsSeparatelyFromInvalidBodies) {
@@ -100,7 +100,8 @@
         BodyCase{"DuplicateDeep", R"({"a": [{"b": 1, "b": 1}]})", ErrorKind::kMalformedJson,
                  "line 1, byte 19"},
         BodyCase{"Deep", std::string(1'000'000, '['), ErrorKind::kMalformedJson, "line 1, byte 17"},
-        BodyCase{"Oversized", std::string(kMaxSourceBody + 1, ' '), ErrorKind::kOversized, "body"},
+        BodyCase{"Oversized", std::string(kMaxSourceBodyBytes + 1, ' '), ErrorKind::kOversized,
+                 "body"},
         BodyCase{"NotAnObject", "[]", ErrorKind::kMalformedJson, "line 1, byte 1"}),
     NameOf);
 
--- a/tests/snapshot/transfer_test.cc
+++ b/tests/snapshot/transfer_test.cc
@@ -64,11 +64,11 @@
 
 TEST(TransferTest, FullAndDeltaTransfersReconstructTheTarget) {
   const BaseAndTarget pair;
-  const auto whole = Resolve([&] { return DecodeBundle(EncodeWhole(pair.target), nullptr); });
+  const auto whole = Resolve([&] { return DecodeBundle(EncodeFull(pair.target), nullptr); });
   ASSERT_TRUE(whole.ok()) << ToString(whole.error());
   ExpectEqualBundles(*whole.value(), pair.target);
   const Transfer delta = EncodeDelta(pair.base, pair.target);
-  EXPECT_FALSE(delta.whole());
+  EXPECT_FALSE(delta.is_full());
   const auto rebuilt = Resolve([&] { return DecodeBundle(delta, &pair.base); });
   ASSERT_TRUE(rebuilt.ok()) << ToString(rebuilt.error());
   ExpectEqualBundles(*rebuilt.value(), pair.target);
@@ -83,7 +83,7 @@
   Seal(target);
   const Transfer delta = EncodeDelta(base, target);
   RecordProperty("delta_bytes", static_cast<int>(delta.payload->size()));
-  RecordProperty("whole_bytes", static_cast<int>(EncodeWhole(target).payload->size()));
+  RecordProperty("whole_bytes", static_cast<int>(EncodeFull(target).payload->size()));
   EXPECT_LT(delta.payload->size(), 200U);
   ExpectEqualBundles(*Resolve([&] { return DecodeBundle(delta, &base); }).value(), target);
 }
@@ -102,7 +102,7 @@
   Seal(target);
   const Transfer delta = EncodeDelta(base, target);
   EXPECT_LT(delta.payload->size(), 250U);
-  for (const Transfer& transfer : {delta, EncodeWhole(target)}) {
+  for (const Transfer& transfer : {delta, EncodeFull(target)}) {
     const auto decoded = Resolve([&] { return DecodeMachines(transfer, &base); });
     ASSERT_TRUE(decoded.ok()) << ToString(decoded.error());
     EXPECT_EQ(decoded.value()->version, target.version);
@@ -128,23 +128,23 @@
     void (*change)(DocumentVersion&);
   };
   const Case cases[] = {
-      {"content", [](DocumentVersion& version) { version.content ^= 1; }},
-      {"zero hash", [](DocumentVersion& version) { version.content = 0; }},
+      {"content", [](DocumentVersion& version) { version.content_hash ^= 1; }},
+      {"zero hash", [](DocumentVersion& version) { version.content_hash = 0; }},
   };
   for (const auto& test_case : cases) {
-    for (Transfer transfer : {EncodeWhole(pair.target), EncodeDelta(pair.base, pair.target)}) {
+    for (Transfer transfer : {EncodeFull(pair.target), EncodeDelta(pair.base, pair.target)}) {
       test_case.change(transfer.version);
       EXPECT_EQ(DecodeErrorKind(transfer, &pair.base), ErrorKind::kDigestMismatch)
           << test_case.name;
     }
   }
-  const Transfer other = WithPayload(EncodeWhole(pair.target), *EncodeWhole(pair.base).payload);
+  const Transfer other = WithPayload(EncodeFull(pair.target), *EncodeFull(pair.base).payload);
   EXPECT_EQ(DecodeErrorKind(other, nullptr), ErrorKind::kDigestMismatch);
 }
 
 TEST(TransferTest, RejectsInvalidPayloads) {
   const Bundle bundle = MakeBundle(2, 2);
-  const Transfer whole = EncodeWhole(bundle);
+  const Transfer whole = EncodeFull(bundle);
   const std::string plain =
       Resolve([&] { return Decompress(*whole.payload, kMaxDocumentBytes); }).value();
   // Overwrites the number at `offset`. The row count is at offset 1, after the byte order flag.
--- a/tests/source/source_client_test.cc
+++ b/tests/source/source_client_test.cc
@@ -212,7 +212,7 @@
       {"cut", 200, std::string(kConfiguration).substr(0, 90), ErrorKind::kMalformedJson, ""},
       {"revision 0", 200, R"({"revision":0,"table":"","services":{},"secrets":{}})",
        ErrorKind::kBadValue, ""},
-      {"oversized", 200, std::string(kMaxSourceBody + 1, ' '), ErrorKind::kOversized, ""},
+      {"oversized", 200, std::string(kMaxSourceBodyBytes + 1, ' '), ErrorKind::kOversized, ""},
   };
   HttpSource source;
   std::atomic<int> requests{0};
--- a/tests/transport/transport_test.cc
+++ b/tests/transport/transport_test.cc
@@ -135,7 +135,7 @@
   EXPECT_EQ(right_->counters().messages_sent, 3U);
   EXPECT_EQ(right_->counters().messages_received, 3U);
   EXPECT_GT(left_->counters().bytes_received, 3 * kLarge);
-  EXPECT_EQ(left_->counters().bad_frames + left_->counters().unsealed_frames, 0U);
+  EXPECT_EQ(left_->counters().bad_frames + left_->counters().unseal_failures, 0U);
 }
 
 TEST_F(TransportTest, CountsAndDropsInvalidFramesOnBothSockets) {
@@ -150,7 +150,7 @@
     sendto(datagrams.descriptor(), frame.data(), frame.size(), 0, native->pointer(), native->size);
   }
   EXPECT_TRUE(WaitFor([&] { return right_->counters().bad_frames == 4; }));
-  EXPECT_TRUE(WaitFor([&] { return right_->counters().unsealed_frames == 1; }));
+  EXPECT_TRUE(WaitFor([&] { return right_->counters().unseal_failures == 1; }));
   for (const std::string& frame :
        {std::string("GET / HTTP/1.1\r\n\r\n"), other_key, not_a_message}) {
     const Socket stream = Connect(target);
@@ -158,7 +158,7 @@
     EXPECT_TRUE(WaitForClose(stream));
   }
   EXPECT_TRUE(WaitFor([&] { return right_->counters().bad_frames == 6; }));
-  EXPECT_EQ(right_->counters().unsealed_frames, 2U);
+  EXPECT_EQ(right_->counters().unseal_failures, 2U);
   EXPECT_EQ(right_->counters().messages_received, 0U);
   ExpectDelivers();
 }
